--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -69,7 +69,7 @@
 
 class Scenario {
  public:
-  explicit Scenario(const std::filesystem::path& path) {
+  explicit Scenario(const std::filesystem::path& path) : name_(path.stem().string()) {
     std::ifstream in(path);
     std::string text;
     for (int n = 1; std::getline(in, text); ++n) {
@@ -116,6 +116,7 @@
     }
     world.run_until(until_);
     world.judge.close(until_);
+    write_digest(world);
     bool breach_expected = false;
     for (const auto& line : expects_) breach_expected = check(world, line) || breach_expected;
     if (breach_expected) return;
@@ -123,6 +124,15 @@
       ADD_FAILURE() << "rule broken: " << rule << " " << what;
   }
 
+  // Outside CI, for comparing two versions of the sources: a line a scenario and seed, appended to the file
+  // that ROBINFORD_SCENARIO_DIGESTS names.
+  void write_digest(const World& world) const {
+    const char* path = std::getenv("ROBINFORD_SCENARIO_DIGESTS");
+    if (path == nullptr) return;
+    std::ofstream(path, std::ios::app)
+        << name_ << ' ' << options_.seed << ' ' << world.outbox_digest().text() << '\n';
+  }
+
   void setup(const Line& line) {
     const std::string what = line.plain[0];
     if (what == "site") {
@@ -366,6 +376,7 @@
     return false;
   }
 
+  const std::string name_;
   Options options_;
   std::vector<Line> steps_, expects_;
   double until_ = 60;
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -197,6 +197,7 @@
 void World::drain(int i) {
   auto& node = nodes_[i];
   auto out = node.core->take_outbox();
+  outbox_digest_.add(now_, node.name, out);
   const auto life = node.life;
   for (auto& reply : out.replies) {
     const auto found = node.replies.find(reply.token);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -15,6 +15,7 @@
 
 #include "coordination/controller.hpp"
 #include "quota/lease_options.hpp"
+#include "outbox_digest.hpp"
 #include "state_store.hpp"
 
 namespace robinford::testing_world {
@@ -180,6 +181,8 @@
   // The state service keeps to these limits from now on.
   void state_limits(double value_kb, int txn_ops, double write_rps);
   const StateStore& store() const { return store_; }
+  /// Of everything that left the controllers so far.
+  const simulation::OutboxDigest& outbox_digest() const { return outbox_digest_; }
   // So many of the machines rented next never come up.
   void boots_fail(int count) { failing_boots_ = count; }
   // Watches of the state service are not answered.
@@ -335,6 +338,7 @@
   double late_share_ = 0, late_share_by_ = 0, late_share_until_ = -1;
   double link_by_ = 0, link_until_ = -1, watches_lost_until_ = -1;
   int failing_boots_ = 0;
+  simulation::OutboxDigest outbox_digest_;
   double next_waiting_look_ = 0;
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   void look_for_waiting();
