--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -31,8 +31,8 @@
 // A task that is, or may be, on a machine.
 enum class RunState : std::uint8_t {
   kPlanned,   // chosen for the machine; its launch waits for the durable note or for the answer to carry it
-  kLaunched,  // the launch was sent and no report has shown the outcome yet
-  kPresent,   // a report showed it
+  kLaunched,  // the launch was sent and no heartbeat has shown the outcome yet
+  kPresent,   // a heartbeat showed it
   kStopping,  // told to stop, not gone yet
 };
 const char* to_text(RunState state);
@@ -42,9 +42,9 @@
   std::uint64_t attempt = 0;
   RunState state = RunState::kPlanned;
   protocol::TaskPhase phase = protocol::TaskPhase::kFetching;
-  bool seen = false;    // some report has shown this attempt
+  bool seen = false;    // some heartbeat has shown this attempt
   bool direct = false;  // launched by a direct command, which may be carried out late
-  std::uint64_t launch_session = 0, launch_seq = 0;  // the report whose answer carried the launch
+  std::uint64_t launch_agent_epoch = 0, launch_seq = 0;  // the heartbeat whose answer carried the launch
   double planned_at = 0, launched_at = 0, running_since = 0;
   double last_stop = -1e9;  // last direct stop
   double stop_grace = 0;
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -1,4 +1,4 @@
-// The machines: what their reports prove, what may be on them, and when nothing can be on them any more.
+// The machines: what their heartbeats prove, what may be on them, and when nothing can be on them any more.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 inline constexpr char kMachinePrefix[] = "m/";
 
 enum class MachineState : std::uint8_t {
-  kBooting,    // rented or listed, never reported to this leader
-  kUp,         // reports
-  kSilent,     // was expected to report and does not
+  kBooting,    // rented or listed, never sent_heartbeat to this leader
+  kUp,         // heartbeats
+  kSilent,     // was expected to heartbeat and does not
   kReturning,  // its return was asked for; all on it counts until the cloud's answer
   kGone,       // the cloud confirmed the return
 };
@@ -37,16 +37,16 @@
   MachineState state = MachineState::kBooting;
   double cpus = 0, gpus = 0, memory_gb = 0;
 
-  std::uint64_t session = 0, seq = 0;
-  bool reported = false;  // to this leader
-  bool saw_term = false;  // its worker has shown this leader's token: from then on its reports are proof
+  std::uint64_t agent_epoch = 0, seq = 0;
+  bool sent_heartbeat = false;  // to this leader
+  bool saw_term = false;  // its worker has shown this leader's token: from then on its heartbeats are proof
   bool unseen = false;    // on record from an earlier leader, and not proven yet: may hold tasks of that time
-  double last_report = -1e9;
+  double last_heartbeat = -1e9;
   double last_answer = -1e9;  // the last 200 with this leader's token
-  // When its present session was first shown with this leader's token: it began, and its last report that
-  // anybody else answered was sent, no later than that.
-  double session_shown = -1e9;
-  std::optional<double> notice_until;  // steady, when the cloud takes it
+  // When its present agent_epoch was first shown with this leader's token: it began, and its last heartbeat
+  // that anybody else answered was sent, no later than that.
+  double agent_epoch_shown_at = -1e9;
+  std::optional<double> interruption_at;  // steady, when the cloud takes it
   double known_at = 0, rented_at = 0, up_at = 0;
   bool listed_failed = false;
   double last_listed = -1e9;
@@ -57,16 +57,17 @@
   // gone.
   std::map<JobId, double> overdue;
   std::vector<PendingClear> clears;
-  std::vector<protocol::TaskReport> strays;  // on it by its last report, but nobody's: to be stopped
+  std::vector<protocol::TaskStatus> strays;  // on it by its last heartbeat, but nobody's: to be stopped
   std::map<std::string, std::pair<double, double>> stray_charge;  // what they cost their teams: cpus, gpus
   std::uint32_t gang_tasks = 0;                                   // of the tasks, those of gangs, ...
   double gang_cpus = 0;                                           // ... and what they and the holds take
-  // Attempts started by a direct command under this term and in this session. Such a command may be carried
-  // out late or once more, which does nothing while the attempt is listed: so these are never cleared.
+  // Attempts started by a direct command under this term and in this agent_epoch. Such a command may be
+  // carried out late or once more, which does nothing while the attempt is listed: so these are never
+  // cleared.
   std::set<std::pair<TaskId, std::uint64_t>> direct;
-  std::uint64_t direct_session = 0;
+  std::uint64_t direct_agent_epoch = 0;
 
-  // Its reports are not answered after that moment (time of day, ms) until its record no longer says so: a
+  // Its heartbeats are not answered after that moment (time of day, ms) until its record no longer says so: a
   // later leader reckons its lease from there, and not from its own beginning. Nothing is launched there
   // meanwhile.
   std::optional<std::int64_t> unanswered_since_ms;
@@ -81,15 +82,15 @@
 
   std::set<JobId> error_jobs;  // jobs that failed here since the last success
   int errors = 0;
-  int unheard = 0;                  // orders in a row that newer reports show were never taken
-  int unproven = 0;                 // answers in a row after which it still does not show the term
-  double asked_at = -1e9;           // last direct command or question
-  int asking = 0;                   // of them, how many are open
-  int ask_failures = 0;             // in a row
-  std::uint64_t session_guess = 1;  // for a question to a machine that has proved nothing yet
-  bool reborn = false;              // its counters went back: only the cloud's answer settles what was on it
-  bool offered = false;             // its free room was offered to the waiting gangs since it last grew
-  bool set_aside = false;           // takes nothing new
+  int unheard = 0;                      // commands in a row that newer heartbeats show were never taken
+  int unproven = 0;                     // answers in a row after which it still does not show the term
+  double asked_at = -1e9;               // last direct command or question
+  int asking = 0;                       // of them, how many are open
+  int ask_failures = 0;                 // in a row
+  std::uint64_t agent_epoch_guess = 1;  // for a question to a machine that has proved nothing yet
+  bool reborn = false;     // its counters went back: only the cloud's answer settles what was on it
+  bool offered = false;    // its free room was offered to the waiting gangs since it last grew
+  bool set_aside = false;  // takes nothing new
   // What its time went into, in core seconds: for the log line at its end.
   double useful = 0, lost = 0, fetching = 0;
   bool winding_down = false;  // takes no new array tasks: more room than needed
@@ -127,8 +128,8 @@
   std::map<std::string, MachineGroup>& groups() { return groups_; }
   const std::map<std::string, MachineGroup>& groups() const { return groups_; }
 
-  static bool newer(const Machine& machine, std::uint64_t session, std::uint64_t seq) {
-    return session > machine.session || (session == machine.session && seq > machine.seq);
+  static bool newer(const Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
+    return agent_epoch > machine.agent_epoch || (agent_epoch == machine.agent_epoch && seq > machine.seq);
   }
   static void set_state(Machine& machine, MachineState state);
 
@@ -149,7 +150,7 @@
   static std::string group_of(const std::string& name);
   static std::string group_key(const std::string& group) { return kMachinePrefix + group; }
   void touch(Machine& machine);  // its record needs another look
-  // Its reports are not answered from now on; `since_ms`: time of day of the last answer it can have had.
+  // Its heartbeats are not answered from now on; `since_ms`: time of day of the last answer it can have had.
   void set_unanswered(Machine& machine, std::int64_t since_ms);
   // It may be answered again, once its record says so.
   void clear_unanswered(Machine& machine);
--- a/src/bookkeeping/machine_records.cpp
+++ b/src/bookkeeping/machine_records.cpp
@@ -190,8 +190,8 @@
     const bool known = find(name) != nullptr;
     Machine& machine = known ? *find(name) : add(name, now);
     if (known) {
-      // Two records name it: it was being moved. Should one of them not call it unanswered, its reports may
-      // have been answered since.
+      // Two records name it: it was being moved. Should one of them not call it unanswered, its heartbeats
+      // may have been answered since.
       name_by_second_record(machine, group);
       if (since == unanswered.end()) machine.unanswered_since_ms.reset();
     } else {
@@ -203,7 +203,8 @@
     machine.type = word(2);
     machine.zone = word(3);
     machine.spot = (*fields)[4].get_bool();
-    // Without an address it had not reported when the record was written, and nothing was launched there.
+    // Without an address it had not sent_heartbeat when the record was written, and nothing was launched
+    // there.
     machine.unseen = !machine.addr.empty();
     machine.recorded = machine.unseen && !machine.unanswered_since_ms;
     if (machine.unanswered_since_ms) machine.state = MachineState::kSilent;
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -20,7 +20,7 @@
 inline constexpr double kRenewTimeoutS = 1.0;    // s: a renewal without an answer by then is tried again
 inline constexpr double kValidityMarginS = 0.3;  // s: taken off the leader's own reckoning of its lease
 inline constexpr double kCaretakerBoundS =
-    90.0;                                     // s: after its last renewal a leader answers no report any more
+    90.0;  // s: after its last renewal a leader answers no heartbeat any more
 inline constexpr double kToldMarginS = 1.5;   // s: what is told on its way, ticks, and a worker's own steps
 inline constexpr double kLeastAnswerS = 6.0;  // s between a lease and a cancellation, below which the books
                                               // may not lag at all: they do by 2 s or so
@@ -36,7 +36,7 @@
     0.5;  // of the time a cancellation has, after which a machine that has not shown it is given back...
 inline constexpr double kOverdueLeadS = 10.0;  // s: ...but so long before its end, for the cloud's answer
 inline constexpr double kOverdueLastS =
-    5.0;  // s before its end at the latest, where a new leader gives machines time to report
+    5.0;  // s before its end at the latest, where a new leader gives machines time to heartbeat
 inline constexpr double kClaimJitterS = 0.12;  // s: random wait before a claim, so that claims rarely collide
 inline constexpr double kClaimRetryS = 0.4;    // s: pause after a failed claim
 inline constexpr double kWatchWaitS = 10.0;    // s: how long one watch is left open
@@ -66,7 +66,7 @@
                                                       // value: the writer's mark, the mark of a cancellation
 
 inline constexpr std::size_t kMachinesLeast =
-    4000;  // machines that every bound on their reports leaves room for, however little memory there is
+    4000;  // machines that every bound on their heartbeats leaves room for, however little memory there is
 
 // ---- transport ----
 inline constexpr std::size_t kBodyMax =
@@ -94,18 +94,18 @@
     6;  // incoming links at once: one, and those of processes that ended within kLinkIdleS
 
 // ---- between controllers ----
-inline constexpr double kHeartbeatS = 0.5;       // s: status to the other controllers
+inline constexpr double kStatusIntervalS = 0.5;  // s: status to the other controllers
 inline constexpr double kPeerFreshS = 1.8;       // s: a status older than this proves nothing
 inline constexpr double kForwardTimeoutS = 1.2;  // s: a forwarded request without an answer is settled here
 inline constexpr double kForwardPerMb =
     16;  // forwarded requests in flight a MB of memory before new ones get 503
-inline constexpr double kDirectReportsPerCore =
-    500;  // reports a second, for each core of the quota, that a leader takes itself
+inline constexpr double kDirectHeartbeatsPerCore =
+    500;  // heartbeats a second, for each core of the quota, that a leader takes itself
 inline constexpr std::size_t kBatchBytes =
     std::size_t{32} * 1024;  // bytes for another controller that are sent without waiting for the tick
-inline constexpr double kParkS = 2.5;       // s a report waits for a leader: its worker gives up after 4 s
-inline constexpr double kParkedPerMb = 16;  // reports waiting for a leader, for each MB of memory
-inline constexpr double kToldPerMb = 20;    // machines whose last report is kept, for each MB of memory
+inline constexpr double kParkS = 2.5;       // s a heartbeat waits for a leader: its worker gives up after 4 s
+inline constexpr double kParkedPerMb = 16;  // heartbeats waiting for a leader, for each MB of memory
+inline constexpr double kToldPerMb = 20;    // machines whose last heartbeat is kept, for each MB of memory
 inline constexpr double kDelegateS = 3.0;   // s for a direct call that another controller makes
 inline constexpr int kKeyBits =
     24;  // requests are numbered above a random start: answers to an earlier process miss
@@ -136,9 +136,10 @@
     2;  // of this program; the first one registered, and it brings dependencies
 inline constexpr double kVersionsEveryS = 2.0;  // s between two readings of the registry until all are known
 
-// ---- reports and holds ----
-inline constexpr double kHoldReports = 3.0;    // report intervals after which a hold lapses (the design's)
-inline constexpr double kReportJitter = 1.25;  // the longest report interval over the nominal one
+// ---- heartbeats and holds ----
+inline constexpr double kReservationHeartbeats =
+    3.0;  // heartbeat intervals after which a hold lapses (the design's)
+inline constexpr double kHeartbeatJitter = 1.25;  // the longest heartbeat interval over the nominal one
 inline constexpr double kRoundSlackS =
     1.5;  // s: for workers whose controller went: retry after 1 s, and a little
 inline constexpr double kRoundEveryS = 0.2;     // s: shortest time between two rounds
@@ -159,14 +160,14 @@
     0.8;                                     // s: between two writings of a record whose machines wait for it
 inline constexpr double kRecordTidyS = 3.0;  // s: between two writings of a record that is only outdated
 inline constexpr int kUnprovenMost = 4;      // answers with our token after which a worker should show it
-inline constexpr int kUnheardMost = 2;       // orders that a machine did not take before it is asked directly
-inline constexpr int kAsksEnough = 2;        // unanswered questions after which a machine counts as silent
-inline constexpr double kEarlyPerMb = 40;    // reports kept a MB of memory while the ledger is read
-inline constexpr double kLoadRetryS = 0.3;   // s between tries to read the ledger
+inline constexpr int kUnheardMost = 2;     // commands that a machine did not take before it is asked directly
+inline constexpr int kAsksEnough = 2;      // unanswered questions after which a machine counts as silent
+inline constexpr double kEarlyPerMb = 40;  // heartbeats kept a MB of memory while the ledger is read
+inline constexpr double kLoadRetryS = 0.3;       // s between tries to read the ledger
 inline constexpr double kUnknownBackoffS = 2.0;  // s: the worker did not know the job yet
 inline constexpr double kRoomBackoffS = 1.0;     // s: our picture of a machine's room was wrong
 inline constexpr double kNobodyYetS =
-    2.0;  // s that a leader with no machine on record waits for any to report
+    2.0;  // s that a leader with no machine on record waits for any to heartbeat
 inline constexpr double kGatherLookS = 0.2;  // s between two looks at whether the round is full
 inline constexpr double kUnansweredLeaseShare =
     0.75;  // of a lease, after which a silent machine is put on record as not answered any more
@@ -177,24 +178,24 @@
 
 // ---- direct commands ----
 inline constexpr double kDirectWaitShare =
-    0.25;  // share of the shortest expected start above which two reports are too long
+    0.25;  // share of the shortest expected start above which two heartbeats are too long
 inline constexpr double kDirectDefaultWaitS =
     20.0;  // s: the shortest expected start where no aim names a shorter one
 inline constexpr double kDirectPerCore = 800;  // direct calls a second for each core of the quota
 inline constexpr double kDirectLeast = 5;      // a second, in any case
 inline constexpr int kDirectSocketPart = 8;    // one socket in so many may be a direct call
 inline constexpr std::size_t kDirectListMax =
-    64;  // attempts that stay listed on a machine before reports carry launches
+    64;  // attempts that stay listed on a machine before heartbeats carry launches
 inline constexpr double kDirectDoubtS =
     6.0;  // s: an unanswered launch of withdrawn work, before its machine goes
 inline constexpr std::uint64_t kAttemptBits = 24;  // attempts are term << 24 | counter: never used twice
-inline constexpr std::size_t kOrdersMax = 200;     // orders in one answer: stays far below 64 KiB
+inline constexpr std::size_t kCommandsMax = 200;   // commands in one answer: stays far below 64 KiB
 inline constexpr double kDeafShareMax = 0.05;  // above this share of deaf machines the fault is on our side
 inline constexpr std::size_t kDeafLeast = 3;   // as many may always be set aside
-inline constexpr double kDeafReportS =
-    6;  // s: a worker that hears no answer reports again 5 s later, elsewhere
+inline constexpr double kUnreachableHeartbeatS =
+    6;  // s: a worker that hears no answer heartbeats again 5 s later, elsewhere
 inline constexpr double kShowTokenS =
-    1.0;  // s: a worker that heard a higher token reports again within half a second
+    1.0;  // s: a worker that heard a higher token heartbeats again within half a second
 inline constexpr int kAsksMost = 3;        // questions to a machine of an earlier leader that stays silent
 inline constexpr double kAskAgainS = 0.5;  // s between them
 inline constexpr int kOpenMost = 2;        // direct calls to one machine at a time
@@ -205,7 +206,8 @@
 inline constexpr int kJobSuspectMachines = 3;    // machines on which a job failed before it is tried narrowly
 inline constexpr int kMachineSuspectErrors = 2;  // failed jobs in a row before a machine is set aside
 inline constexpr double kAvoidS = 120.0;         // s: a job stays away from a machine where it failed
-inline constexpr double kSilentReports = 4.0;    // report intervals of silence before a machine is doubted...
+inline constexpr double kUnresponsiveHeartbeats =
+    4.0;  // heartbeat intervals of silence before a machine is doubted...
 inline constexpr double kSilentMinS =
     11.0;  // s: ...but no sooner: a worker needs 4 s + 1 s for each dead controller
 inline constexpr double kSilentShareMax =
--- a/src/coordination/array_placement.cpp
+++ b/src/coordination/array_placement.cpp
@@ -1,4 +1,4 @@
-// Arrays go into the capacity that machines report.
+// Arrays go into the capacity that machines heartbeat.
 #include <algorithm>
 #include <utility>
 
@@ -53,7 +53,7 @@
          zone_allowed(job.spec, zones_of(core_, job, stray_machines_), machine.zone);
 }
 
-// Arrays go into the room that the machine's own report shows, in the order of the teams' queues.
+// Arrays go into the room that the machine's own heartbeat shows, in the order of the teams' queues.
 std::uint32_t Scheduler::fill(Machine& machine) {
   const double now = core_.now.steady;
   if (!takes_work(core_, machine) || machine.winding_down) return 0;
@@ -63,8 +63,8 @@
   if (now >= next_survey_) survey();
   // Room that just came free is the waiting gangs' first: arrays that took it would be stopped again at once.
   if (!machine.offered && !waiting_gangs_.empty() && suits_gangs(machine)) return 0;
-  // Machines that should be filled before this one have room for all that waits: they report as well, before
-  // long.
+  // Machines that should be filled before this one have room for all that waits: they heartbeat as well,
+  // before long.
   if (survey_.better[room_class(machine)] > survey_.array_demand) return 0;
   struct Turn {
     std::vector<Job*>* queue;
@@ -106,7 +106,7 @@
   return placed;
 }
 
-// With long report intervals, work that has come would wait for most of one: the leader launches by direct
+// With long heartbeat intervals, work that has come would wait for most of one: the leader launches by direct
 // commands.
 void Scheduler::fill_idle() {
   if (!directly() || queues_.empty() || survey_.array_demand <= 0) return;
--- a/src/coordination/change_log.cpp
+++ b/src/coordination/change_log.cpp
@@ -25,7 +25,7 @@
   return protocol::parse_job_id(key.substr(slash + 1, dot - slash - 1));
 }
 
-bool reports_cancellation(const boost::json::value& value) {
+bool is_cancellation(const boost::json::value& value) {
   return value.is_object() && value.get_object().contains(bookkeeping::kNoticeWithdrawn);
 }
 
@@ -96,7 +96,7 @@
 void ChangeLog::take_event(const bookkeeping::StateEvent& event) {
   if (event.deleted) return;
   if (const auto id = job_of_key(event.key)) {
-    if (reports_cancellation(event.value))
+    if (is_cancellation(event.value))
       events_.cancelled(*id);
     else
       events_.changed(*id);
@@ -156,7 +156,7 @@
                      if (generation != generation_) return;
                      if (!page) return finish_read(false);
                      for (const auto& item : page->items) {
-                       if (!reports_cancellation(item.value)) continue;
+                       if (!is_cancellation(item.value)) continue;
                        if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
                      }
                      if (page->more && !page->items.empty()) return read(page->items.back().key);
--- a/src/coordination/change_log.hpp
+++ b/src/coordination/change_log.hpp
@@ -1,5 +1,5 @@
 // The change log: what controllers other than the leader wrote about jobs, one entry for each change, in the
-// state service. An entry stands in the same transaction as the change that it reports. Only the leader
+// state service. An entry stands in the same transaction as the change that it heartbeats. Only the leader
 // deletes entries, after it has acted on them.
 #pragma once
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -51,8 +51,8 @@
                       send(member, std::move(message));
                     }),
       scheduler_(core_, election_, versions_,
-                 {[this](std::uint64_t key, int status, std::vector<protocol::Order> orders) {
-                    answer_report(key, status, std::move(orders), election_.term());
+                 {[this](std::uint64_t key, int status, std::vector<protocol::Command> commands) {
+                    answer_heartbeat(key, status, std::move(commands), election_.term());
                   },
                   [this](const DirectCall& call) { direct(call); }}),
       fleet_(core_, election_, scheduler_),
@@ -92,18 +92,18 @@
   scheduler_.tick();
   fleet_.tick();
   quota_leases_.tick(leader_member());
-  if (now.steady >= next_heartbeat_) broadcast();
+  if (now.steady >= next_status_broadcast_) broadcast();
   for (auto it = waiting_.begin(); it != waiting_.end();) {
     const auto key = it->first;
     Waiting& waiting = it->second;
     ++it;
     if (now.steady >= waiting.deadline) {
-      if (waiting.report)
-        answer_report(key, 503, {}, 0);
+      if (waiting.is_heartbeat)
+        answer_heartbeat(key, 503, {}, 0);
       else
         answer(key, 503, c::kRetryAfterS, protocol::error_json("no answer in time"));
     } else if (waiting.state == Waiting::State::kForwarded && now.steady >= waiting.forward_deadline &&
-               !waiting.report) {
+               !waiting.is_heartbeat) {
       serve(key);  // the leader does not answer: a user's request is settled here
     }
   }
@@ -146,39 +146,39 @@
     core_.metrics.gauge("requests_waiting", static_cast<double>(waiting_.size()));
     quota_leases_.set_gauges();
     reply(200, 0, core_.metrics.page(), true);
-  } else if (path == n::kPathReport || path == jobs || path.starts_with(jobs + "/")) {
+  } else if (path == n::kPathHeartbeat || path == jobs || path.starts_with(jobs + "/")) {
     Waiting waiting;
     waiting.method = request.method;
     waiting.target = path;
     waiting.body = request.body;
     waiting.token = request.token;
-    waiting.report = path == n::kPathReport;
-    std::string rest = waiting.report || path == jobs ? "" : path.substr(jobs.size() + 1);
+    waiting.is_heartbeat = path == n::kPathHeartbeat;
+    std::string rest = waiting.is_heartbeat || path == jobs ? "" : path.substr(jobs.size() + 1);
     const std::string cancel = n::kPathCancel;
     const bool cancels = rest.size() > cancel.size() && rest.ends_with(cancel);
     if (cancels) rest.resize(rest.size() - cancel.size());
-    const bool post = waiting.report || path == jobs || cancels;
+    const bool post = waiting.is_heartbeat || path == jobs || cancels;
     if (rest.find('/') != std::string::npos) return reply(404, 0, protocol::error_json("no such path"));
     if (request.method != (post ? "POST" : "GET")) return wrong_method();
-    if (!waiting.report && path != jobs && !protocol::parse_job_id(rest))
+    if (!waiting.is_heartbeat && path != jobs && !protocol::parse_job_id(rest))
       return reply(404, 0, protocol::error_json("no such job"));
     waiting.poll = !post;
     // Polls take no place from submissions: a flood of them once had these turned away.
-    if (!waiting.report && places_taken(waiting) >= core_.per_memory(c::kUserRequestsPerMb)) {
+    if (!waiting.is_heartbeat && places_taken(waiting) >= core_.per_memory(c::kUserRequestsPerMb)) {
       core_.metrics.count("requests_shed");
       return reply(503, c::kRetryAfterS, protocol::error_json("too many requests"));
     }
-    if (waiting.report) {
-      auto report = protocol::parse_report(request.body);
-      if (!report) return reply(400, 0, protocol::error_json("malformed report"));
-      waiting.heard = std::move(*report);
+    if (waiting.is_heartbeat) {
+      auto heartbeat = protocol::parse_heartbeat(request.body);
+      if (!heartbeat) return reply(400, 0, protocol::error_json("malformed report"));
+      waiting.heartbeat = std::move(*heartbeat);
       waiting.body.clear();
       if (scheduler_.phase() == LeaderPhase::kServing) {
         if (const auto member = lighter_member(); !member.empty())
           return reply(421, 0, protocol::redirect_json(member));
       }
     }
-    waiting.deadline = now.steady + (waiting.report ? c::kParkS : c::kUserDeadlineS);
+    waiting.deadline = now.steady + (waiting.is_heartbeat ? c::kParkS : c::kUserDeadlineS);
     route(add(std::move(waiting)));
   } else {
     reply(404, 0, protocol::error_json("no such path"));
@@ -199,14 +199,14 @@
   auto& peer = peers_[member];
   peer.up = up;
   if (up) {
-    next_heartbeat_ = 0;
+    next_status_broadcast_ = 0;
     broadcast();
   } else {
     // What was forwarded over this link is not answered any more.
     std::vector<std::uint64_t> keys;
     for (const auto& [key, waiting] : waiting_)
       if (waiting.state == Waiting::State::kForwarded && waiting.at == member) keys.push_back(key);
-    peer.heard = -1e9;
+    peer.last_contact = -1e9;
     batches_[member].clear();
     for (const auto key : keys) route(key);
   }
@@ -233,7 +233,7 @@
 
 std::uint64_t Controller::add(Waiting waiting) {
   const auto key = next_key_++;
-  if (!waiting.report) ++places_taken(waiting);
+  if (!waiting.is_heartbeat) ++places_taken(waiting);
   waiting_.emplace(key, std::move(waiting));
   return key;
 }
@@ -244,7 +244,7 @@
   if (scheduler_.knows_all_jobs() || core_.state.reachable(core_.now.steady)) return true;
   bool other_can = false;
   for (const auto& [member, peer] : peers_) {
-    if (core_.now.steady - peer.heard > c::kPeerFreshS) continue;
+    if (core_.now.steady - peer.last_contact > c::kPeerFreshS) continue;
     if (peer.up && peer.leading && peer.ready) return true;
     other_can = other_can || peer.state_ok;
   }
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -41,19 +41,19 @@
     bool up = false;  // our link to it
     std::uint64_t incarnation = 0, term = 0;
     bool leading = false, ready = false, state_ok = false;
-    double heard = -1e9;
+    double last_contact = -1e9;
   };
-  // A request that waits: at the leader, for our own answer, or (a report) for a leader to appear.
+  // A request that waits: at the leader, for our own answer, or (a heartbeat) for a leader to appear.
   struct Waiting {
     enum class State : std::uint8_t { kLocal, kForwarded, kParked } state = State::kLocal;
     std::string method, target, body;
     std::string at;  // the member it was forwarded to
     double deadline = 0, forward_deadline = 0;
-    bool report = false;
-    bool poll = false;       // a user's question, neither a submission nor a cancellation
-    protocol::Report heard;  // a report, read and checked here
-    bool in_full = false;    // it has to be forwarded in full
-    bool from_peer = false;  // forwarded to us
+    bool is_heartbeat = false;
+    bool poll = false;              // a user's question, neither a submission nor a cancellation
+    protocol::Heartbeat heartbeat;  // a heartbeat, read and checked here
+    bool in_full = false;           // it has to be forwarded in full
+    bool from_peer = false;         // forwarded to us
     std::string origin;
     std::uint64_t origin_request = 0;
     std::uint64_t token = 0;
@@ -67,12 +67,13 @@
   // The one place where a user hears that a job is withdrawn, or another controller does for its user.
   void answer_user(std::uint64_t key, const UserAnswer& answer);
   void tell_withdrawn(protocol::JobId id);
-  void answer_report(std::uint64_t key, int status, std::vector<protocol::Order> orders, std::uint64_t term);
+  void answer_heartbeat(std::uint64_t key, int status, std::vector<protocol::Command> commands,
+                        std::uint64_t term);
   void forward(std::uint64_t key, const std::string& member);
-  void forward_report(std::uint64_t key, const std::string& member);
+  void forward_heartbeat(std::uint64_t key, const std::string& member);
   void set_state(Waiting& waiting, Waiting::State state);
   bool leader_may_appear() const;
-  // A leader that takes too many reports itself names another controller for them.
+  // A leader that takes too many heartbeats itself names another controller for them.
   std::string lighter_member();
   void direct(const DirectCall& call);
   void put_question(const protocol::PeerMessage& ask);
@@ -101,20 +102,20 @@
   std::size_t changes_waiting_ = 0;  // submissions and cancellations in progress, the same way
   std::size_t parked_ = 0, forwarded_ = 0;
   std::map<std::string, std::string> batches_;  // frames being filled, by member
-  // What the leader heard last of the machines that report here: a report that changes nothing is a few
+  // What the leader heard last of the machines that heartbeat here: a heartbeat that changes nothing is a few
   // bytes.
   struct Told {
     std::string leader;
-    std::uint64_t term = 0, session = 0, seq = 0;
+    std::uint64_t term = 0, agent_epoch = 0, seq = 0;
     std::string state;
   };
   std::map<std::string, Told> told_;
   std::map<std::uint64_t, double>
       delegated_;              // direct calls that another controller makes for us, with their time limit
   std::size_t questions_ = 0;  // calls that we make for a leader
-  double reports_window_ = 0;
-  std::size_t reports_taken_ = 0, next_peer_ = 0;
-  double next_heartbeat_ = 0;
+  double heartbeat_window_began_ = 0;
+  std::size_t heartbeats_taken_ = 0, next_peer_ = 0;
+  double next_status_broadcast_ = 0;
   bool ending_ = false;
 };
 
--- a/src/coordination/dependencies.hpp
+++ b/src/coordination/dependencies.hpp
@@ -33,7 +33,7 @@
   // Of every dependency it is known whether it is over: answers about waiting jobs may come from memory.
   bool settled() const { return unknown_.empty(); }
   // Each waiting job waits for one that is known not to be done. The others might have been released by an
-  // earlier leader, so a new one knows them for what they are before it looks at any report.
+  // earlier leader, so a new one knows them for what they are before it looks at any heartbeat.
   bool release_decided();
   // Priorities and due times of all jobs, from those that need them. `duration_s`: from ready to done.
   void inherit(const std::function<double(const bookkeeping::Job&)>& duration_s);
--- a/src/coordination/direct.cpp
+++ b/src/coordination/direct.cpp
@@ -1,5 +1,5 @@
 // Commands and questions that go straight to workers: stops, questions of a new leader, and launches where
-// reports are far apart. docs/design.md argues why a launch that comes late, twice or never does no harm.
+// heartbeats are far apart. docs/design.md argues why a launch that comes late, twice or never does no harm.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -17,30 +17,30 @@
 using bookkeeping::MachineLedger;
 using bookkeeping::MachineState;
 using bookkeeping::RunState;
-using protocol::Order;
-using protocol::Report;
+using protocol::Command;
+using protocol::Heartbeat;
 using protocol::TaskId;
 
-void Scheduler::direct(Machine& machine, std::vector<Order> orders) {
-  if (machine.addr.empty() || !election_.holds_token()) return;
+void Scheduler::direct(Machine& machine, std::vector<Command> commands) {
+  if (machine.addr.empty() || !election_.owns_fencing_token()) return;
   ask_budget_.take(1);
   OpenDirect open{machine.name,
-                  machine.saw_term ? machine.session : machine.session_guess,
-                  machine.saw_term ? machine.session : 0,
+                  machine.saw_term ? machine.agent_epoch : machine.agent_epoch_guess,
+                  machine.saw_term ? machine.agent_epoch : 0,
                   machine.saw_term ? machine.seq : 0,
                   {}};
-  for (const auto& order : orders)
-    if (order.op == Order::Op::kStart) open.launches.emplace_back(order.task, order.attempt);
+  for (const auto& command : commands)
+    if (command.op == Command::Op::kLaunch) open.launches.emplace_back(command.task, command.attempt);
   const auto id = ++direct_counter_;
   ++machine.asking;
   machine.asked_at = core_.now.steady;
   core_.metrics.count("direct_calls");
-  const DirectCall call{id, machine.addr, open.session, std::move(orders)};
+  const DirectCall call{id, machine.addr, open.agent_epoch, std::move(commands)};
   open_direct_.emplace(id, std::move(open));
   actions_.direct(call);
 }
 
-void Scheduler::direct_answer(std::uint64_t id, int status, const Report* report) {
+void Scheduler::direct_answer(std::uint64_t id, int status, const Heartbeat* heartbeat) {
   const auto found = open_direct_.find(id);
   if (found == open_direct_.end()) return;
   const OpenDirect open = std::move(found->second);
@@ -51,13 +51,14 @@
     return;
   --machine->asking;
   const double now = core_.now.steady;
-  if (report == nullptr || (status != 200 && status != 409) || report->machine != machine->name) {
+  if (heartbeat == nullptr || (status != 200 && status != 409) || heartbeat->machine != machine->name) {
     ++machine->ask_failures;
     if (machine->unseen && machine->ask_failures < c::kAsksMost) to_ask_.push_back(machine->name);
-    // Its reports come, and neither answers nor commands get there: it is deaf. Should that seem true of
+    // Its heartbeats come, and neither answers nor commands get there: it is deaf. Should that seem true of
     // many, the fault is ours.
-    const bool suspect = (machine->unheard >= c::kUnheardMost || machine->unproven >= c::kUnprovenMost) &&
-                         now - machine->last_report < 2 * core_.settings.report_s + c::kDeafReportS;
+    const bool suspect =
+        (machine->unheard >= c::kUnheardMost || machine->unproven >= c::kUnprovenMost) &&
+        now - machine->last_heartbeat < 2 * core_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatS;
     if (suspect && !machine->set_aside && machine->ask_failures < c::kAsksEnough) {
       ask(*machine);
     } else if (suspect && !machine->set_aside &&
@@ -71,34 +72,35 @@
     for (const auto holder : holders) {
       Job* job = core_.jobs.find(holder);
       if (job == nullptr || job->gang != GangState::kHolding) continue;
-      job->avoid[machine->name] = now + c::kHoldReports * core_.settings.report_s;
+      job->avoid[machine->name] = now + c::kReservationHeartbeats * core_.settings.heartbeat_interval_s;
       release_holds(*job);
       JobLedger::set_gang(*job, GangState::kQueued, now);
     }
     return;
   }
-  if (report->token > election_.term()) return election_.higher_term_seen(report->token);
+  if (heartbeat->fencing_token > election_.term())
+    return election_.higher_term_seen(heartbeat->fencing_token);
   machine->unheard = 0;
   machine->ask_failures = 0;
-  machine->session_guess = report->session;
-  const bool went_back = machine->saw_term && std::tie(report->session, report->seq) <
-                                                  std::tie(open.known_session, open.known_seq);
+  machine->agent_epoch_guess = heartbeat->agent_epoch;
+  const bool went_back = machine->saw_term && std::tie(heartbeat->agent_epoch, heartbeat->seq) <
+                                                  std::tie(open.known_agent_epoch, open.known_seq);
   if (went_back) {
-    // Its counters began anew while we knew it: whatever was on it is gone, and a launch for the session of
-    // the same number may still come. The cloud settles that.
+    // Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent_epoch
+    // of the same number may still come. The cloud settles that.
     machine->reborn = true;
     spdlog::info("machine {} was born again and is given back", machine->name);
     MachineLedger::set_state(*machine, MachineState::kReturning);
     return;
   }
-  if (status == 409 && report->token < election_.term()) {
-    // Its session was not the one we guessed, and it did not learn our token: once more.
-    if (machine->ask_failures == 0 && report->session != open.session) ask(*machine);
+  if (status == 409 && heartbeat->fencing_token < election_.term()) {
+    // Its agent_epoch was not the one we guessed, and it did not learn our token: once more.
+    if (machine->ask_failures == 0 && heartbeat->agent_epoch != open.agent_epoch) ask(*machine);
     return;
   }
-  if (report->token != election_.term()) return;
-  if (!machine->saw_term || MachineLedger::newer(*machine, report->session, report->seq))
-    take_report(*machine, *report, true);
+  if (heartbeat->fencing_token != election_.term()) return;
+  if (!machine->saw_term || MachineLedger::newer(*machine, heartbeat->agent_epoch, heartbeat->seq))
+    apply_heartbeat(*machine, *heartbeat, true);
   if (!may_place()) return;
   const auto holders = machine->holds;
   for (const auto holder : holders)
@@ -107,14 +109,14 @@
 }
 
 // The full round after a takeover does not wait for the workers: those of earlier leaders are asked, and
-// learn our token by the question itself, also where a caretaker still answers their reports.
+// learn our token by the question itself, also where a caretaker still answers their heartbeats.
 void Scheduler::ask_unseen() {
   for (std::size_t left = to_ask_.size(); left > 0 && ask_budget_.covers(1) && direct_room(); --left) {
     const std::string name = std::move(to_ask_.front());
     to_ask_.pop_front();
     Machine* machine = core_.machines.find(name);
     if (machine == nullptr || !machine->unseen) continue;
-    // One that was just answered with our token reports again by itself, to show it.
+    // One that was just answered with our token heartbeats again by itself, to show it.
     if (machine->asking > 0 || core_.now.steady - machine->asked_at < c::kAskAgainS ||
         (machine->unproven > 0 && core_.now.steady - machine->last_answer < c::kShowTokenS)) {
       to_ask_.push_back(name);
@@ -126,31 +128,31 @@
 
 void Scheduler::launch_directly(Machine& machine) {
   if (!may_place() || machine.state != MachineState::kUp || !machine.recorded || machine.addr.empty()) return;
-  if (machine.direct_session != machine.session) {
+  if (machine.direct_agent_epoch != machine.agent_epoch) {
     machine.direct.clear();
-    machine.direct_session = machine.session;
+    machine.direct_agent_epoch = machine.agent_epoch;
   }
-  std::vector<Order> orders;
+  std::vector<Command> commands;
   for (const auto& id : machine.tasks) {
     Job* job = core_.jobs.find(id.job);
-    if (job == nullptr || job->state != JobState::kActive || orders.size() >= c::kOrdersMax) continue;
+    if (job == nullptr || job->state != JobState::kActive || commands.size() >= c::kCommandsMax) continue;
     auto& run = job->runs.at(id.index);
     if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
-    orders.push_back({Order::Op::kStart, id, run.attempt, 0});
+    commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
     launched(machine, *job, run, true);
     machine.direct.insert({id, run.attempt});
   }
-  if (!orders.empty()) direct(machine, std::move(orders));
+  if (!commands.empty()) direct(machine, std::move(commands));
 }
 
 // Stops also go straight to the machines: a late one does no harm, since attempts are never used twice.
 void Scheduler::send_stops() {
-  if (!election_.holds_token()) return;
+  if (!election_.owns_fencing_token()) return;
   const double now = core_.now.steady;
   for (auto it = stopping_.begin(); it != stopping_.end();) {
     Machine* machine = core_.machines.find(*it);
     bool any = false;
-    std::vector<Order> orders;
+    std::vector<Command> commands;
     if (machine != nullptr && machine->state != MachineState::kGone) {
       for (const auto& id : machine->tasks) {
         Job* job = core_.jobs.find(id.job);
@@ -158,15 +160,15 @@
         auto& run = job->runs.at(id.index);
         if (run.state != RunState::kStopping) continue;
         any = true;
-        if (now - run.last_stop < c::kStopAgainS || orders.size() >= c::kOrdersMax ||
+        if (now - run.last_stop < c::kStopAgainS || commands.size() >= c::kCommandsMax ||
             machine->asking >= c::kOpenMost || !direct_room())
           continue;
         run.last_stop = now;
-        orders.push_back({Order::Op::kStop, id, run.attempt, run.stop_grace});
+        commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
       }
     }
     it = any ? std::next(it) : stopping_.erase(it);
-    if (!orders.empty() && machine->saw_term) direct(*machine, std::move(orders));
+    if (!commands.empty() && machine->saw_term) direct(*machine, std::move(commands));
   }
 }
 
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -24,7 +24,8 @@
 constexpr char kMember[] = "member";
 constexpr char kIncarnation[] = "inc";
 constexpr char kTerm[] = "term";
-constexpr char kAnswers[] = "answers";  // ms for which that leader answers reports, once another is elected
+constexpr char kAnswers[] =
+    "answers";  // ms for which that leader answers heartbeats, once another is elected
 constexpr char kRecordsSince[] =
     "records_since";                // first term whose leader and all later ones record launch zones
 constexpr char kQuiet[] = "quiet";  // wall ms when all leaders before the one named are surely silent
@@ -57,7 +58,7 @@
 
 bool Election::valid() const { return role_ == Role::kLeading && core_.now.steady < valid_until_; }
 
-bool Election::holds_token() const {
+bool Election::owns_fencing_token() const {
   return (role_ == Role::kLeading || role_ == Role::kCaretaker) &&
          core_.now.steady < last_renewed_ + c::kCaretakerBoundS * (1 - c::kClockDrift);
 }
@@ -65,7 +66,7 @@
 bool Election::answers() const {
   const double now = core_.now.steady;
   const auto& withdrawals = core_.withdrawals;
-  if (!holds_token()) return false;
+  if (!owns_fencing_token()) return false;
   // Where leases and cancellations are too close together, nobody tells before this bound has passed.
   if (withdrawals.strict()) return now < last_renewed_ + withdrawals.answer_s() * (1 - c::kClockDrift);
   return now < withdrawals.known_up_to(now) + withdrawals.answer_s();
@@ -98,7 +99,7 @@
       if (now >= valid_until_) become(Role::kCaretaker);
       [[fallthrough]];
     case Role::kCaretaker:
-      if (!holds_token()) {
+      if (!owns_fencing_token()) {
         step_down("the caretaker's bound is reached");
         break;
       }
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -14,7 +14,7 @@
   kFollowing,  // somebody leads; watches the key
   kClaiming,   // takes a lease and writes the key
   kLeading,    // holds the key, lease valid
-  kCaretaker,  // can't renew and can't know more: answers reports, changes nothing
+  kCaretaker,  // can't renew and can't know more: answers heartbeats, changes nothing
 };
 const char* to_text(Role role);
 
@@ -39,21 +39,21 @@
   // May place, launch and write.
   bool valid() const;
   // The token is ours, as far as can be known: commands may carry it. They renew no lease.
-  bool holds_token() const;
-  // May answer reports with the token, which renews leases: only while every cancellation that any user was
-  // told of is known here, or was told so lately that the leases renewed now end in time.
+  bool owns_fencing_token() const;
+  // May answer heartbeats with the token, which renews leases: only while every cancellation that any user
+  // was told of is known here, or was told so lately that the leases renewed now end in time.
   bool answers() const;
   // The cancellations told while we could not lead are known, so that work may start: a job called off in an
   // outage was started once more after it, before its notice was read.
   bool caught_up() const;
   // Whether a user may hear now that a job is withdrawn: all its tasks then end in time, whoever answers
-  // reports.
+  // heartbeats.
   bool may_tell_withdrawn(protocol::JobId id) const;
   double last_renewed() const { return last_renewed_; }
   // All leaders from this term on record which machines they do not answer any more.
   std::uint64_t records_since() const { return records_since_; }
   const std::string& leader() const { return leader_; }
-  // Steady moment after which no former leader answers any report.
+  // Steady moment after which no former leader answers any heartbeat.
   double former_leaders_silent_at() const { return std::max(former_silent_at_, all_former_silent_at_); }
 
  private:
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -50,7 +50,7 @@
 void Fleet::tick() {
   const double now = core_.now.steady;
   budget_.refill(now);
-  if (!election_.holds_token() || scheduler_.phase() == LeaderPhase::kNone ||
+  if (!election_.owns_fencing_token() || scheduler_.phase() == LeaderPhase::kNone ||
       scheduler_.phase() == LeaderPhase::kLoading)
     return;
   if (!election_.valid()) {
--- a/src/coordination/fleet_demand.cpp
+++ b/src/coordination/fleet_demand.cpp
@@ -59,7 +59,7 @@
         const Market market{name, zone, spot};
         if (!kind_allowed(spec, name, zone, spot) || !market_open(market)) continue;
         const double price = (spot ? type.spot_price : type.price) / fit;
-        // A zone of which nothing is heard comes last: what boots there reports to nobody.
+        // A zone of which nothing is heard comes last: what boots there heartbeats to nobody.
         const bool out = zones_out_.contains(zone);
         // Equal prices: the zone with the fewest machines, so that one zone's trouble does not take all.
         int count = 0;
@@ -166,16 +166,16 @@
 // zone, the fault is ours, and none counts.
 void Fleet::watch_zones() {
   const double now = core_.now.steady;
-  const double patience = core_.settings.report_s * c::kReportJitter + c::kRoundSlackS;
+  const double patience = core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   struct Count {
     int fresh = 0, quiet = 0;
   };
   std::map<std::string, Count> zones;
   Count all;
   for (const auto& [name, machine] : core_.machines.all()) {
-    if (machine.state == MachineState::kGone || !(machine.reported || machine.unseen)) continue;
-    const bool quiet = now - std::max(machine.last_report, scheduler_.serving_since()) > patience ||
-                       (!machine.reported && machine.ask_failures >= c::kAsksEnough);
+    if (machine.state == MachineState::kGone || !(machine.sent_heartbeat || machine.unseen)) continue;
+    const bool quiet = now - std::max(machine.last_heartbeat, scheduler_.serving_since()) > patience ||
+                       (!machine.sent_heartbeat && machine.ask_failures >= c::kAsksEnough);
     ++(quiet ? zones[machine.zone].quiet : zones[machine.zone].fresh);
     ++(quiet ? all.quiet : all.fresh);
   }
--- a/src/coordination/fleet_returns.cpp
+++ b/src/coordination/fleet_returns.cpp
@@ -113,10 +113,10 @@
     const char* why = nullptr;
     if (machine.listed_failed)
       why = "it failed";
-    else if (machine.state == MachineState::kBooting && machine.rented_at > 0 && !machine.reported &&
+    else if (machine.state == MachineState::kBooting && machine.rented_at > 0 && !machine.sent_heartbeat &&
              !machine.unseen && now - machine.rented_at > boot * c::kBootFactor + c::kBootSlackS)
       why = "it does not come up";
-    else if (scheduler_.give_up(machine) && (!network_trouble || machine.notice_until))
+    else if (scheduler_.give_up(machine) && (!network_trouble || machine.interruption_at))
       why = "it is silent";
     else if (machine.unseen && scheduler_.phase() == LeaderPhase::kServing && few_unseen &&
              machine.ask_failures >= c::kAsksEnough)
@@ -136,7 +136,7 @@
     MachineLedger::set_state(*machine, MachineState::kReturning);
   }
   return_machines([](const Machine& machine) { return machine.state == MachineState::kReturning; });
-  // What no list, report or record has shown for long does not exist.
+  // What no list, heartbeat or record has shown for long does not exist.
   std::vector<std::string> forgotten;
   for (const auto& [name, machine] : core_.machines.all()) {
     const bool never = machine.state == MachineState::kBooting && machine.rented_at == 0 && !machine.unseen &&
--- a/src/coordination/gang_placement.cpp
+++ b/src/coordination/gang_placement.cpp
@@ -128,7 +128,7 @@
     Machine& machine = *core_.machines.find(spot.machine);
     for (std::uint32_t i = 0; i < spot.tasks; ++i) add_hold(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
-    // With long report intervals the leader asks for the report that confirms the hold.
+    // With long heartbeat intervals the leader asks for the heartbeat that confirms the hold.
     if (directly() && direct_room()) ask(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_room(core_, *offer.machine).cpus <= 0; });
--- a/src/coordination/gang_state.cpp
+++ b/src/coordination/gang_state.cpp
@@ -51,7 +51,8 @@
             return entry.second.state == RunState::kPresent;
           });
       if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
-      if (now - job.gang_since > c::kHoldReports * core_.settings.report_s + core_.settings.gang_wait_s)
+      if (now - job.gang_since >
+          c::kReservationHeartbeats * core_.settings.heartbeat_interval_s + core_.settings.gang_wait_s)
         stop_gang(job, false, "its tasks did not all start");
       return;
     }
--- a/src/coordination/job_records.cpp
+++ b/src/coordination/job_records.cpp
@@ -19,7 +19,7 @@
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
 using protocol::JobId;
-using protocol::TaskReport;
+using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
@@ -268,7 +268,7 @@
         const Machine* machine = core_.machines.find(name);
         return machine != nullptr &&
                std::any_of(machine->strays.begin(), machine->strays.end(),
-                           [&](const TaskReport& stray) { return stray.task.job == id; });
+                           [&](const TaskStatus& stray) { return stray.task.job == id; });
       });
   return strayed || std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
            const Machine* machine = core_.machines.find(name);
--- a/src/coordination/machine_liveness.cpp
+++ b/src/coordination/machine_liveness.cpp
@@ -19,22 +19,23 @@
   return last_answer_at(machine) + core_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
 }
 
-// The last moment (steady) at which any controller can have answered one of its reports.
+// The last moment (steady) at which any controller can have answered one of its heartbeats.
 double Scheduler::last_answer_at(const Machine& machine) const {
   if (machine.unanswered_since_ms)
     return core_.now.steady + (static_cast<double>(*machine.unanswered_since_ms - core_.now.wall_ms) +
                                2 * core_.settings.clock_error_ms) /
                                   1000.0;
-  // A session without an answered report has its lease from its beginning. A machine that reached no
-  // controller, and was given work by direct commands, was once taken for free of it while its newest session
-  // still ran.
-  double last = std::max({machine.last_answer, machine.session_shown, began_});
+  // A agent_epoch without an answered heartbeat has its lease from its beginning. A machine that reached no
+  // controller, and was given work by direct commands, was once taken for free of it while its newest
+  // agent_epoch still ran.
+  double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
   if (!machine.saw_term) last = std::max(last, election_.former_leaders_silent_at());
   return last;
 }
 
-// From now on its reports are answered only once its record says so: whoever leads next can reckon its lease
-// from the last answer. Leaders that followed one another within a lease each waited for a whole one before.
+// From now on its heartbeats are answered only once its record says so: whoever leads next can reckon its
+// lease from the last answer. Leaders that followed one another within a lease each waited for a whole one
+// before.
 void Scheduler::stop_answering(Machine& machine) {
   if (machine.unanswered_since_ms || machine.state == MachineState::kGone) return;
   // A machine that comes back earlier must be answered at once, or its tasks end with its lease.
@@ -44,17 +45,17 @@
 }
 bool Scheduler::give_up(const Machine& machine) const {
   if (machine.state != MachineState::kSilent) return false;
-  const double silent_since = std::max(machine.last_report, began_);
+  const double silent_since = std::max(machine.last_heartbeat, began_);
   return core_.now.steady - silent_since >
-         std::max(c::kSilentMinS, c::kSilentReports * core_.settings.report_s);
+         std::max(c::kSilentMinS, c::kUnresponsiveHeartbeats * core_.settings.heartbeat_interval_s);
 }
 void Scheduler::watch_machines() {
   const double now = core_.now.steady;
-  const double patience = core_.settings.report_s * c::kReportJitter + c::kRoundSlackS;
+  const double patience = core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   for (auto& [name, machine] : core_.machines.all()) {
-    const bool expected = machine.reported || (machine.unseen && phase_ == LeaderPhase::kServing);
+    const bool expected = machine.sent_heartbeat || (machine.unseen && phase_ == LeaderPhase::kServing);
     if ((machine.state == MachineState::kUp || machine.state == MachineState::kBooting) && expected &&
-        now - std::max(machine.last_report, began_) > 2 * patience) {
+        now - std::max(machine.last_heartbeat, began_) > 2 * patience) {
       MachineLedger::set_state(machine, MachineState::kSilent);
       const auto holds = machine.holds;
       for (const auto id : holds)
@@ -75,8 +76,8 @@
       spdlog::info("machine {} is given back: it has not shown that withdrawn work is gone", name);
       MachineLedger::set_state(machine, MachineState::kReturning);
     }
-    // Launches sent straight to the machine that nobody answered: while its session lasts they may still be
-    // carried out, and neither silence nor a lease that is over ends that. Only the cloud's word does.
+    // Launches sent straight to the machine that nobody answered: while its agent_epoch lasts they may still
+    // be carried out, and neither silence nor a lease that is over ends that. Only the cloud's word does.
     bool open_launch = false;
     if (!machine.direct.empty() && machine.state != MachineState::kGone) {
       for (const auto& id : machine.tasks) {
@@ -117,7 +118,8 @@
   // the time that the cancellation has. All of them were once given back in the moment when the ledger was
   // read.
   if (machine.unseen || machine.unanswered_since_ms) {
-    const double round = began_ + 2 * (core_.settings.report_s * c::kReportJitter + c::kRoundSlackS);
+    const double round =
+        began_ + 2 * (core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
     const double last = told + cancel_s - c::kOverdueLastS;
     limit = std::max(limit, last > now ? std::min(round, last) : round);
   }
@@ -125,7 +127,7 @@
   overdue_.insert(machine.name);
 }
 
-// After a report: what of the withdrawn work is still on the machine, or may come there?
+// After a heartbeat: what of the withdrawn work is still on the machine, or may come there?
 void Scheduler::check_cancelled_work_gone(Machine& machine) {
   if (machine.overdue.empty()) return;
   std::erase_if(machine.overdue, [&](const auto& entry) {
@@ -143,7 +145,7 @@
   lose_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
   // Only of machines that this leader has known all their life.
-  if (machine.reported && machine.rented_at > 0 && machine.cpus > 0 &&
+  if (machine.sent_heartbeat && machine.rented_at > 0 && machine.cpus > 0 &&
       machine.known_at - machine.rented_at < 1) {
     const double lived = core_.now.steady - machine.rented_at, all = lived * machine.cpus / 100;
     spdlog::info(
--- a/src/coordination/peer_messages.cpp
+++ b/src/coordination/peer_messages.cpp
@@ -27,7 +27,7 @@
       peer.leading = message.leading;
       peer.ready = message.ready;
       peer.state_ok = message.state_ok;
-      peer.heard = now;
+      peer.last_contact = now;
       versions_.heard(message.member, message.incarnation);
       election_.on_status(message);
       core_.withdrawals.take_status(message, core_.incarnation);
@@ -52,50 +52,51 @@
         answer(key, 421, 0, "");
       break;
     }
-    case PeerKind::kReport:
-    case PeerKind::kSame: {
+    case PeerKind::kHeartbeat:
+    case PeerKind::kUnchangedHeartbeat: {
       Waiting waiting;
-      waiting.report = waiting.from_peer = true;
+      waiting.is_heartbeat = waiting.from_peer = true;
       waiting.origin = message.member;
       waiting.origin_request = message.request;
       waiting.deadline = now + c::kParkS;
       const auto key = add(std::move(waiting));
       if (scheduler_.phase() == LeaderPhase::kNone)
-        answer_report(key, 421, {}, 0);
-      else if (message.kind == PeerKind::kReport)
-        scheduler_.report(key, message.report);
-      else if (!scheduler_.same_report(key, message.report.machine, message.report.session,
-                                       message.report.seq, message.report.token, message.base_seq))
-        answer_report(key, 409, {}, 0);
+        answer_heartbeat(key, 421, {}, 0);
+      else if (message.kind == PeerKind::kHeartbeat)
+        scheduler_.heartbeat(key, message.heartbeat);
+      else if (!scheduler_.unchanged_heartbeat(key, message.heartbeat.machine, message.heartbeat.agent_epoch,
+                                               message.heartbeat.seq, message.heartbeat.fencing_token,
+                                               message.base_seq))
+        answer_heartbeat(key, 409, {}, 0);
       break;
     }
-    case PeerKind::kOrders: {
+    case PeerKind::kCommands: {
       const auto waiting = waiting_.find(message.request);
       if (waiting == waiting_.end() || waiting->second.state != Waiting::State::kForwarded ||
-          waiting->second.at != message.member || !waiting->second.report)
+          waiting->second.at != message.member || !waiting->second.is_heartbeat)
         break;
       if (message.status == 421) {
         peer.leading = false;
         route(message.request);
       } else if (message.status == 409) {
-        // The leader's books stand on another report than we thought.
+        // The leader's books stand on another heartbeat than we thought.
         waiting->second.in_full = true;
         route(message.request);
       } else {
-        const auto& heard = waiting->second.heard;
+        const auto& heartbeat = waiting->second.heartbeat;
         if (message.status != 200)
-          told_.erase(heard.machine);
-        else if (told_.size() < core_.per_machine(c::kToldPerMb) || told_.contains(heard.machine))
-          told_[heard.machine] = {message.member, message.term, heard.session, heard.seq,
-                                  protocol::report_state(heard)};
-        answer_report(message.request, static_cast<int>(message.status), message.orders, message.term);
+          told_.erase(heartbeat.machine);
+        else if (told_.size() < core_.per_machine(c::kToldPerMb) || told_.contains(heartbeat.machine))
+          told_[heartbeat.machine] = {message.member, message.term, heartbeat.agent_epoch, heartbeat.seq,
+                                      protocol::heartbeat_state(heartbeat)};
+        answer_heartbeat(message.request, static_cast<int>(message.status), message.commands, message.term);
       }
       break;
     }
     case PeerKind::kAnswer: {
       const auto waiting = waiting_.find(message.request);
       if (waiting == waiting_.end() || waiting->second.state != Waiting::State::kForwarded ||
-          waiting->second.at != message.member || waiting->second.report)
+          waiting->second.at != message.member || waiting->second.is_heartbeat)
         break;
       if (message.status == 421) {
         peer.leading = false;
@@ -138,7 +139,7 @@
     case PeerKind::kAsked:
       if (delegated_.erase(message.request) > 0)
         scheduler_.direct_answer(message.request, static_cast<int>(message.status),
-                                 message.status != 0 ? &message.report : nullptr);
+                                 message.status != 0 ? &message.heartbeat : nullptr);
       break;
   }
   return true;
@@ -150,12 +151,13 @@
   ask.kind = PeerKind::kAsk;
   ask.request = call.id;
   ask.target = call.addr;
-  ask.base_seq = call.session;
-  ask.orders = call.orders;
+  ask.base_seq = call.agent_epoch;
+  ask.commands = call.commands;
   ask.term = election_.term();
   std::vector<const std::string*> fresh;
   for (const auto& [member, peer] : peers_)
-    if (peer.up && !peer.leading && core_.now.steady - peer.heard < c::kPeerFreshS) fresh.push_back(&member);
+    if (peer.up && !peer.leading && core_.now.steady - peer.last_contact < c::kPeerFreshS)
+      fresh.push_back(&member);
   if (!fresh.empty()) {
     delegated_[call.id] = core_.now.steady + c::kDelegateS;
     return send(*fresh[next_peer_++ % fresh.size()], std::move(ask));
@@ -166,13 +168,13 @@
 // The question is our own, or another controller's, which then gets the answer.
 void Controller::put_question(const PeerMessage& ask) {
   const auto finish = [this, member = ask.member, id = ask.request](int status,
-                                                                    const protocol::Report* report) {
-    if (member.empty()) return scheduler_.direct_answer(id, status, report);
+                                                                    const protocol::Heartbeat* heartbeat) {
+    if (member.empty()) return scheduler_.direct_answer(id, status, heartbeat);
     PeerMessage message;
     message.kind = PeerKind::kAsked;
     message.request = id;
-    message.status = report != nullptr ? static_cast<std::uint64_t>(status) : 0;
-    if (report != nullptr) message.report = *report;
+    message.status = heartbeat != nullptr ? static_cast<std::uint64_t>(status) : 0;
+    if (heartbeat != nullptr) message.heartbeat = *heartbeat;
     send(member, std::move(message));
   };
   if (!ask.member.empty() &&
@@ -180,12 +182,12 @@
     return finish(0, nullptr);
   ++questions_;
   core_.calls.send({0, protocol::Service::kWorker, ask.target, "POST", n::kPathCommands,
-                    protocol::orders_json(ask.term, ask.orders, ask.base_seq), c::kDirectTimeoutS, false},
+                    protocol::commands_json(ask.term, ask.commands, ask.base_seq), c::kDirectTimeoutS, false},
                    [this, finish](const protocol::CallResult& result) {
                      --questions_;
                      if (result.status != 200 && result.status != 409) return finish(0, nullptr);
-                     const auto report = protocol::parse_report(result.body);
-                     finish(result.status, report ? &*report : nullptr);
+                     const auto heartbeat = protocol::parse_heartbeat(result.body);
+                     finish(result.status, heartbeat ? &*heartbeat : nullptr);
                    });
 }
 
@@ -206,7 +208,7 @@
 }
 
 void Controller::broadcast() {
-  next_heartbeat_ = core_.now.steady + c::kHeartbeatS;
+  next_status_broadcast_ = core_.now.steady + c::kStatusIntervalS;
   for (const auto& [member, peer] : peers_) {
     if (!peer.up) continue;
     PeerMessage message;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -46,9 +46,9 @@
 }
 
 bool takes_work(const Core& core, const Machine& machine) {
-  const double fresh = core.settings.report_s * c::kReportJitter + c::kRoundSlackS;
-  return machine.state == MachineState::kUp && !machine.set_aside && !machine.notice_until &&
-         core.now.steady - machine.last_report < fresh && machine.cpus > 0;
+  const double fresh = core.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  return machine.state == MachineState::kUp && !machine.set_aside && !machine.interruption_at &&
+         core.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
 }
 
 ZoneCount zones_of(Core& core, const Job& job, const std::set<std::string>& stray_machines) {
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -120,7 +120,8 @@
   });
   for (std::size_t i = 0; i < needed; ++i) {
     options[i].machine->reserved_by = job.spec.id;
-    options[i].machine->reserved_until = now + std::max(c::kReserveS, 3 * core_.settings.report_s);
+    options[i].machine->reserved_until =
+        now + std::max(c::kReserveS, 3 * core_.settings.heartbeat_interval_s);
     for (const auto& victim : options[i].victims) {
       Job* other = core_.jobs.find(victim.task.job);
       stop_run(*other, victim.task.index, 0);
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/queue_order.cpp
@@ -52,7 +52,7 @@
   for (const auto& [name, type] : core_.types)
     if (type.fetch_gb_per_s > 0) slowest = std::min(slowest, type.fetch_gb_per_s);
   const double fetch = std::isfinite(slowest) ? job.spec.image_gb / slowest : 0;
-  return run_times_.expected(job) + fetch + 2 * core_.settings.report_s;
+  return run_times_.expected(job) + fetch + 2 * core_.settings.heartbeat_interval_s;
 }
 
 // Not all can be in time when a team asks for more than its limit. Going through its arrays by due time,
--- a/src/coordination/reports.cpp
+++ b/src/coordination/reports.cpp
@@ -1,4 +1,4 @@
-// What reports prove and what their answers carry.
+// What heartbeats prove and what their answers carry.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -19,22 +19,23 @@
 using bookkeeping::MachineState;
 using bookkeeping::RunState;
 using bookkeeping::TaskRun;
-using protocol::ExitWhy;
-using protocol::Order;
-using protocol::Report;
+using protocol::Command;
+using protocol::ExitReason;
+using protocol::Heartbeat;
 using protocol::TaskId;
 using protocol::TaskPhase;
-using protocol::TaskReport;
+using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// Whether this controller may answer a report that shows the token; if not, the report is answered here.
-bool Scheduler::entitled(std::uint64_t key, std::uint64_t token) {
-  if (token > election_.term()) {
+// Whether this controller may answer a heartbeat that shows the fencing_token; if not, the heartbeat is
+// answered here.
+bool Scheduler::entitled(std::uint64_t key, std::uint64_t fencing_token) {
+  if (fencing_token > election_.term()) {
     // Somebody newer leads: the worker must move on at once, while its lease still runs.
-    election_.higher_term_seen(token);
+    election_.higher_term_seen(fencing_token);
     actions_.answer(key, 421, {});
     return false;
   }
@@ -43,108 +44,112 @@
   return false;
 }
 
-void Scheduler::report(std::uint64_t key, const Report& report) {
-  if (!entitled(key, report.token)) return;
+void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
+  if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
     if (early_.size() >= core_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
-    early_.emplace_back(key, report);
+    early_.emplace_back(key, heartbeat);
     return;
   }
-  Machine* machine = core_.machines.find(report.machine);
+  Machine* machine = core_.machines.find(heartbeat.machine);
   if (machine == nullptr) {
-    machine = &core_.machines.add(report.machine, core_.now.steady);
+    machine = &core_.machines.add(heartbeat.machine, core_.now.steady);
     machine->rented_at = core_.now.steady;
-    spdlog::info("machine {} reports, unexpected", report.machine);
+    spdlog::info("machine {} reports, unexpected", heartbeat.machine);
   }
   if (machine->state == MachineState::kGone) return actions_.answer(key, 503, {});
   if (machine->unanswered_since_ms || machine->unanswered_on_record) {
-    // Its lease is not renewed before its record allows it. It reports again about a second later.
+    // Its lease is not renewed before its record allows it. It heartbeats again about a second later.
     core_.machines.clear_unanswered(*machine);
     return actions_.answer(key, 503, {});
   }
-  if (machine->saw_term &&
-      (report.token < election_.term() || !MachineLedger::newer(*machine, report.session, report.seq))) {
+  if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
+                            !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
     // A late copy: it renews nothing. Or the machine was born again, which only a question can tell.
     doubt(*machine);
     return actions_.answer(key, 503, {});
   }
-  if (report.token < election_.term()) {
+  if (heartbeat.fencing_token < election_.term()) {
     // It may be a copy from long ago, and an earlier leader's launch may still be on its way: it proves
-    // nothing. Our token in the answer ends both, and its next report shows it.
-    first_contact(*machine, report);
+    // nothing. Our fencing_token in the answer ends both, and its next heartbeat shows it.
+    first_contact(*machine, heartbeat);
     machine->last_answer = core_.now.steady;
     return actions_.answer(key, 200, {});
   }
-  take_report(*machine, report, false);
+  apply_heartbeat(*machine, heartbeat, false);
   serve_machine(key, *machine);
 }
 
-bool Scheduler::same_report(std::uint64_t key, const std::string& name, std::uint64_t session,
-                            std::uint64_t seq, std::uint64_t token, std::uint64_t base_seq) {
-  Machine* machine =
-      phase_ == LeaderPhase::kLoading || token != election_.term() ? nullptr : core_.machines.find(name);
-  if (machine == nullptr || !machine->saw_term || machine->session != session || machine->seq != base_seq ||
-      seq <= base_seq || machine->state == MachineState::kGone || machine->unanswered_since_ms ||
-      machine->unanswered_on_record || !machine->clears.empty() || !machine->strays.empty())
+bool Scheduler::unchanged_heartbeat(std::uint64_t key, const std::string& name, std::uint64_t agent_epoch,
+                                    std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq) {
+  Machine* machine = phase_ == LeaderPhase::kLoading || fencing_token != election_.term()
+                         ? nullptr
+                         : core_.machines.find(name);
+  if (machine == nullptr || !machine->saw_term || machine->agent_epoch != agent_epoch ||
+      machine->seq != base_seq || seq <= base_seq || machine->state == MachineState::kGone ||
+      machine->unanswered_since_ms || machine->unanswered_on_record || !machine->clears.empty() ||
+      !machine->strays.empty())
     return false;
-  // A launch that was in flight is settled by a report that does not show it, so those are looked at in full.
+  // A launch that was in flight is settled by a heartbeat that does not show it, so those are looked at in
+  // full.
   for (const auto& id : machine->tasks)
     if (const Job* job = core_.jobs.find(id.job);
         job == nullptr || job->runs.at(id.index).state == RunState::kLaunched)
       return false;
-  if (!entitled(key, token)) return true;
+  if (!entitled(key, fencing_token)) return true;
   machine->seq = seq;
-  heard(*machine, session, seq);
+  heard(*machine, agent_epoch, seq);
   confirm_holds(*machine);
   serve_machine(key, *machine);
   return true;
 }
 
-// The machine's own report may carry work in its answer.
+// The machine's own heartbeat may carry work in its answer.
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
-    // The report that confirms the last hold of a gang carries the launch in its own answer.
+    // The heartbeat that confirms the last hold of a gang carries the launch in its own answer.
     const auto holders = machine.holds;
     for (const auto id : holders)
       if (Job* job = core_.jobs.find(id); job != nullptr && job->state == JobState::kActive) check_gang(*job);
     fill(machine);
   }
-  answer_report(machine, key);
+  answer_heartbeat(machine, key);
 }
 
-void Scheduler::answer_report(Machine& machine, std::uint64_t key) {
+void Scheduler::answer_heartbeat(Machine& machine, std::uint64_t key) {
   machine.last_answer = core_.now.steady;
   core_.metrics.count("reports");
-  actions_.answer(key, 200, orders_for(machine));
+  actions_.answer(key, 200, commands_for(machine));
 }
 
-void Scheduler::first_contact(Machine& machine, const Report& report) {
-  machine.addr = report.addr;
-  machine.session_guess = std::max(machine.session_guess, report.session);
-  if (!machine.unseen && (machine.type != report.type || machine.zone != report.zone)) {
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+void Scheduler::first_contact(Machine& machine, const Heartbeat& heartbeat) {
+  machine.addr = heartbeat.addr;
+  machine.agent_epoch_guess = std::max(machine.agent_epoch_guess, heartbeat.agent_epoch);
+  if (!machine.unseen && (machine.type != heartbeat.type || machine.zone != heartbeat.zone)) {
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     know_type(machine);
   }
   if (machine.recorded_addr != machine.addr) core_.machines.touch(machine);
-  // It was answered with our token again and again and still does not show it: our answers don't reach it.
+  // It was answered with our fencing_token again and again and still does not show it: our answers don't
+  // reach it.
   if (++machine.unproven >= c::kUnprovenMost) doubt(machine);
 }
 
 // Liveness: only a newer word of the machine counts.
-void Scheduler::heard(Machine& machine, std::uint64_t session, std::uint64_t seq) {
+void Scheduler::heard(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
   const double now = core_.now.steady;
-  if (!machine.saw_term || machine.session != session) machine.session_shown = now;
-  machine.session = session;
+  if (!machine.saw_term || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
+  machine.agent_epoch = agent_epoch;
   machine.seq = seq;
   machine.saw_term = true;
   machine.unproven = 0;
   core_.machines.clear_unanswered(machine);
   clear_unseen(machine);
-  machine.last_report = now;
-  if (!machine.reported) {
-    machine.reported = true;
+  machine.last_heartbeat = now;
+  if (!machine.sent_heartbeat) {
+    machine.sent_heartbeat = true;
     machine.up_at = now;
     machine.idle_since = now;
     if (machine.rented_at > 0 && machine.known_at - machine.rented_at < 1)
@@ -158,7 +163,7 @@
   dirty_ = true;
 }
 
-// The report is the evidence that holds wait for: the room is still free.
+// The heartbeat is the evidence that holds wait for: the room is still free.
 void Scheduler::confirm_holds(Machine& machine) {
   for (const auto id : machine.holds) {
     Job* job = core_.jobs.find(id);
@@ -168,13 +173,14 @@
   }
 }
 
-// What a newer report of a machine proves, once it shows our token. `direct`: it came as the answer to a
-// direct command, and a launch in the answer to the last real report may still be under way to the worker.
+// What a newer heartbeat of a machine proves, once it shows our fencing_token. `direct`: it came as the
+// answer to a direct command, and a launch in the answer to the last real heartbeat may still be under way to
+// the worker.
 namespace {
 // Each task once. Should one stand twice, the live attempt is the one that matters.
-std::map<TaskId, const TaskReport*> tasks_shown(const Report& report) {
-  std::map<TaskId, const TaskReport*> shown;
-  for (const auto& task : report.tasks) {
+std::map<TaskId, const TaskStatus*> tasks_shown(const Heartbeat& heartbeat) {
+  std::map<TaskId, const TaskStatus*> shown;
+  for (const auto& task : heartbeat.tasks) {
     auto& slot = shown[task.task];
     if (slot == nullptr || slot->phase == TaskPhase::kExited) slot = &task;
   }
@@ -182,11 +188,11 @@
 }
 }  // namespace
 
-void Scheduler::take_report(Machine& machine, const Report& report, bool direct) {
-  const bool new_session = machine.saw_term && report.session > machine.session;
-  if (new_session) session_began(machine);
-  take_machine_facts(machine, report);
-  const auto shown = tasks_shown(report);
+void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, bool direct) {
+  const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
+  if (agent_restarted) on_agent_restart(machine);
+  take_machine_facts(machine, heartbeat);
+  const auto shown = tasks_shown(heartbeat);
   set_strays(machine, {});
   machine.clears.clear();
   std::set<TaskId> settled;
@@ -198,12 +204,12 @@
     if (found == job->runs.end()) continue;
     const auto entry = shown.find(id);
     if (entry == shown.end() || entry->second->attempt != found->second.attempt)
-      run_not_shown(machine, *job, id.index, {new_session, direct});
+      run_not_shown(machine, *job, id.index, {agent_restarted, direct});
     else if (run_shown(machine, *job, id.index, *entry->second))
       settled.insert(id);
   }
   adopt_unknown(machine, shown, settled);
-  for (const auto& task : report.tasks) {
+  for (const auto& task : heartbeat.tasks) {
     // The second entry of a task that stands twice.
     if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
   }
@@ -211,57 +217,60 @@
   check_cancelled_work_gone(machine);
 }
 
-void Scheduler::session_began(Machine& machine) {
-  // Its lease ran out though we answered its reports in time: the answers don't get there.
+void Scheduler::on_agent_restart(Machine& machine) {
+  // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
   if (core_.now.steady - machine.last_answer < core_.settings.lease_s * 0.5)
     unheard(machine, c::kUnheardMost);
-  // Commands for the old session are refused from now on.
+  // Commands for the old agent_epoch are refused from now on.
   machine.direct.clear();
 }
 
 // Address, type, zone, kind, counters and notice.
-void Scheduler::take_machine_facts(Machine& machine, const Report& report) {
-  machine.addr = report.addr;
-  if (machine.type != report.type || machine.zone != report.zone || machine.spot != report.spot ||
+void Scheduler::take_machine_facts(Machine& machine, const Heartbeat& heartbeat) {
+  machine.addr = heartbeat.addr;
+  if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
       machine.cpus <= 0) {
     clear_unseen(machine);
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     know_type(machine);
   }
   if (machine.recorded_addr != machine.addr) core_.machines.touch(machine);
-  heard(machine, report.session, report.seq);
-  const bool had_notice = machine.notice_until.has_value();
-  machine.notice_until = report.notice_s ? std::optional(core_.now.steady + *report.notice_s) : std::nullopt;
-  if (machine.notice_until && !had_notice)
-    spdlog::info("machine {} will be taken in {:.0f} s", machine.name, *report.notice_s);
+  heard(machine, heartbeat.agent_epoch, heartbeat.seq);
+  const bool had_interruption_notice = machine.interruption_at.has_value();
+  machine.interruption_at = heartbeat.interruption_notice_s
+                                ? std::optional(core_.now.steady + *heartbeat.interruption_notice_s)
+                                : std::nullopt;
+  if (machine.interruption_at && !had_interruption_notice)
+    spdlog::info("machine {} will be taken in {:.0f} s", machine.name, *heartbeat.interruption_notice_s);
 }
 
-// A run of ours that the report does not show.
-void Scheduler::run_not_shown(Machine& machine, Job& job, std::uint32_t index, const ReportContext& context) {
+// A run of ours that the heartbeat does not show.
+void Scheduler::run_not_shown(Machine& machine, Job& job, std::uint32_t index,
+                              const HeartbeatContext& context) {
   const TaskRun& run = job.runs.at(index);
   if (run.state == RunState::kPlanned) return;
   if (run.seen)
     return run_lost(
         job, index,
-        context.new_session ? "its machine began a new session" : "it is not on its machine any more");
-  // Not shown yet. A direct command may still be carried out while its session lasts. Else a real report that
-  // is newer than the one whose answer carried the launch settles it: the worker has taken or dropped that
-  // answer before it reported again. A direct answer settles nothing.
-  const bool settled = run.direct ? machine.session > run.launch_session
-                                  : !context.direct && std::tie(machine.session, machine.seq) >
-                                                           std::tie(run.launch_session, run.launch_seq);
+        context.agent_restarted ? "its machine began a new session" : "it is not on its machine any more");
+  // Not shown yet. A direct command may still be carried out while its agent_epoch lasts. Else a real
+  // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
+  // dropped that answer before it sent_heartbeat again. A direct answer settles nothing.
+  const bool settled = run.direct ? machine.agent_epoch > run.launch_agent_epoch
+                                  : !context.direct && std::tie(machine.agent_epoch, machine.seq) >
+                                                           std::tie(run.launch_agent_epoch, run.launch_seq);
   if (!settled) return;
   if (!run.direct) {
     unheard(machine, 1);
-    job.avoid[machine.name] = core_.now.steady + core_.settings.report_s;
+    job.avoid[machine.name] = core_.now.steady + core_.settings.heartbeat_interval_s;
   }
   run_lost(job, index, "the launch did not arrive");
 }
 
-// A run of ours, as the report shows it. True: it has ended.
-bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskReport& task) {
+// A run of ours, as the heartbeat shows it. True: it has ended.
+bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
   if (!run.seen) machine.unheard = machine.ask_failures = 0;  // it took an order
   run.seen = true;
@@ -290,7 +299,7 @@
 }
 
 // Tasks that are no runs of ours: an earlier leader's, or old attempts.
-void Scheduler::adopt_unknown(Machine& machine, const std::map<TaskId, const TaskReport*>& shown,
+void Scheduler::adopt_unknown(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
                               const std::set<TaskId>& settled) {
   for (const auto& [id, task] : shown) {
     if (settled.contains(id)) continue;
@@ -306,16 +315,16 @@
 
 // An attempt that a direct command started stays listed: the command may come once more, and would start it
 // again.
-void Scheduler::clear_later(Machine& machine, const TaskReport& task) {
+void Scheduler::clear_later(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
 }
 
-void Scheduler::adopt(Machine& machine, const TaskReport& task) {
+void Scheduler::adopt(Machine& machine, const TaskStatus& task) {
   Job* job = core_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
     clear_later(machine, task);
-    if (job == nullptr || job->state != JobState::kActive || task.why != ExitWhy::kDone ||
+    if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
         task.task.index >= job->spec.tasks)
       return;
     // A result is kept whoever started it. The tasks of a gang complete together.
@@ -350,17 +359,17 @@
   if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
 }
 
-void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskReport& task) {
+void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   const double now = core_.now.steady;
   const TaskRun run = job.runs.at(index);
   drop_run(job, index);
   if (run.running_since > 0)
-    (task.why == ExitWhy::kDone || task.saved ? machine.useful : machine.lost) +=
+    (task.exit_reason == ExitReason::kDone || task.saved ? machine.useful : machine.lost) +=
         (now - run.running_since) * job.spec.cpus;
   if (spdlog::should_log(spdlog::level::debug))
     spdlog::debug("task {} try {} on {}: {}{}", protocol::task_text(task.task), task.attempt, machine.name,
-                  protocol::to_text(task.why), task.saved ? ", saved" : "");
-  if (task.why == ExitWhy::kDone) {
+                  protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
+  if (task.exit_reason == ExitReason::kDone) {
     machine.errors = 0;
     machine.error_jobs.clear();
     job.failures = 0;
@@ -382,18 +391,18 @@
   }
   clear_later(machine, task);
   if (job.over()) return;
-  switch (task.why) {
-    case ExitWhy::kError:
+  switch (task.exit_reason) {
+    case ExitReason::kError:
       blame(machine, job);
       break;
-    case ExitWhy::kNoRoom:
-      job.avoid[machine.name] = now + core_.settings.report_s * 2;
+    case ExitReason::kNoRoom:
+      job.avoid[machine.name] = now + core_.settings.heartbeat_interval_s * 2;
       job.backoff_until = std::max(job.backoff_until, now + c::kRoomBackoffS);
       break;
-    case ExitWhy::kBusy:
-      job.backoff_until = std::max(job.backoff_until, now + core_.settings.report_s);
+    case ExitReason::kBusy:
+      job.backoff_until = std::max(job.backoff_until, now + core_.settings.heartbeat_interval_s);
       break;
-    case ExitWhy::kUnknown:
+    case ExitReason::kUnknown:
       job.backoff_until = std::max(job.backoff_until, now + c::kUnknownBackoffS);
       break;
     default:
@@ -403,7 +412,7 @@
     give_back(job, index);
     return;
   }
-  if (job.gang != GangState::kStopping) stop_gang(job, false, protocol::to_text(task.why));
+  if (job.gang != GangState::kStopping) stop_gang(job, false, protocol::to_text(task.exit_reason));
 }
 
 void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
@@ -463,7 +472,7 @@
   spdlog::info("machine {} is set aside: {}", machine.name, why);
 }
 
-// Orders that newer reports show were never taken. Whether the machine is deaf is settled by a question.
+// Orders that newer heartbeats show were never taken. Whether the machine is deaf is settled by a question.
 void Scheduler::unheard(Machine& machine, int by) {
   machine.unheard += by;
   if (machine.unheard >= c::kUnheardMost) doubt(machine);
@@ -477,7 +486,7 @@
 void Scheduler::launched(Machine& machine, Job& job, TaskRun& run, bool direct) {
   JobLedger::set_run(job, run, RunState::kLaunched);
   run.launched_at = core_.now.steady;
-  run.launch_session = machine.session;
+  run.launch_agent_epoch = machine.agent_epoch;
   run.launch_seq = machine.seq;
   run.direct = direct;
   core_.metrics.count(direct ? "launches_direct" : "launches");
@@ -487,16 +496,16 @@
   spdlog::info("first launch {:.2f} s into term {}", core_.now.steady - began_, election_.term());
 }
 
-std::vector<Order> Scheduler::orders_for(Machine& machine) {
-  std::vector<Order> orders;
+std::vector<Command> Scheduler::commands_for(Machine& machine) {
+  std::vector<Command> commands;
   const bool may_launch = may_place() && machine.state == MachineState::kUp && machine.recorded;
-  const auto room = [&] { return orders.size() < c::kOrdersMax; };
+  const auto room = [&] { return commands.size() < c::kCommandsMax; };
   for (const auto& stray : machine.strays)
-    if (room()) orders.push_back({Order::Op::kStop, stray.task, stray.attempt, 0});
+    if (room()) commands.push_back({Command::Op::kStop, stray.task, stray.attempt, 0});
   // Completions may be cleared before they are durable: a task that is started again ends at once, as done.
   if (election_.valid()) {
     for (const auto& clear : machine.clears)
-      if (room()) orders.push_back({Order::Op::kForget, clear.task, clear.attempt, 0});
+      if (room()) commands.push_back({Command::Op::kClear, clear.task, clear.attempt, 0});
   }
   for (const auto& id : machine.tasks) {
     Job* job = core_.jobs.find(id.job);
@@ -506,18 +515,19 @@
       // A direct launch that nobody answered may still come. Begun and ended here it stays listed as ended,
       // and then does nothing. Of a job that is over nothing may begin: its machine is given up instead
       // (watch_machines).
-      if (run.direct && !run.seen && !job->over()) orders.push_back({Order::Op::kStart, id, run.attempt, 0});
-      orders.push_back({Order::Op::kStop, id, run.attempt, run.stop_grace});
+      if (run.direct && !run.seen && !job->over())
+        commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
+      commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
     } else if (run.state == RunState::kLaunched && run.direct && !run.seen && may_launch &&
                job->state == JobState::kActive) {
-      orders.push_back({Order::Op::kStart, id, run.attempt, 0});  // the direct command may be lost
+      commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});  // the direct command may be lost
     } else if (run.state == RunState::kPlanned && may_launch && job->state == JobState::kActive &&
                (!job->spec.gang || job->gang == GangState::kLaunching)) {
-      orders.push_back({Order::Op::kStart, id, run.attempt, 0});
+      commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
       launched(machine, *job, run, false);
     }
   }
-  return orders;
+  return commands;
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/request_routing.cpp
+++ b/src/coordination/request_routing.cpp
@@ -24,7 +24,8 @@
   std::string best;
   std::uint64_t term = 0;
   for (const auto& [member, peer] : peers_) {
-    if (!peer.up || !peer.leading || core_.now.steady - peer.heard > c::kPeerFreshS || peer.term < term)
+    if (!peer.up || !peer.leading || core_.now.steady - peer.last_contact > c::kPeerFreshS ||
+        peer.term < term)
       continue;
     best = member;
     term = peer.term;
@@ -45,45 +46,46 @@
 bool Controller::leader_may_appear() const {
   if (core_.state.reachable(core_.now.steady)) return true;
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return core_.now.steady - entry.second.heard < c::kPeerFreshS;
+    return core_.now.steady - entry.second.last_contact < c::kPeerFreshS;
   });
 }
 
 void Controller::route(std::uint64_t key) {
   auto& waiting = waiting_.at(key);
   const std::string leader = leader_member();
-  if (waiting.from_peer || leader == core_.settings.member || (leader.empty() && !waiting.report) ||
-      (waiting.report && scheduler_.phase() != LeaderPhase::kNone))
+  if (waiting.from_peer || leader == core_.settings.member || (leader.empty() && !waiting.is_heartbeat) ||
+      (waiting.is_heartbeat && scheduler_.phase() != LeaderPhase::kNone))
     return serve(key);
   if (leader.empty()) {
-    if (!leader_may_appear()) return answer_report(key, 421, {}, 0);
-    // A report may wait a little for a leader: the sooner it has a full round, the sooner it places.
-    if (parked_ >= core_.per_machine(c::kParkedPerMb)) return answer_report(key, 503, {}, 0);
+    if (!leader_may_appear()) return answer_heartbeat(key, 421, {}, 0);
+    // A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
+    if (parked_ >= core_.per_machine(c::kParkedPerMb)) return answer_heartbeat(key, 503, {}, 0);
     set_state(waiting, Waiting::State::kParked);
     return;
   }
-  if (waiting.report) return forward_report(key, leader);
+  if (waiting.is_heartbeat) return forward_heartbeat(key, leader);
   if (!peers_.at(leader).ready) return serve(key);
   // A leader of an older version would overlook what the job needs, and run it early.
   if (names_dependencies(waiting.body) && !versions_.understands_dependencies(leader)) return serve(key);
   forward(key, leader);
 }
 
-void Controller::forward_report(std::uint64_t key, const std::string& member) {
+void Controller::forward_heartbeat(std::uint64_t key, const std::string& member) {
   auto& waiting = waiting_.at(key);
-  if (forwarded_ >= core_.per_machine(c::kForwardPerMb)) return answer_report(key, 503, {}, 0);
+  if (forwarded_ >= core_.per_machine(c::kForwardPerMb)) return answer_heartbeat(key, 503, {}, 0);
   set_state(waiting, Waiting::State::kForwarded);
   waiting.at = member;
   waiting.forward_deadline = waiting.deadline;
   PeerMessage message;
-  message.kind = PeerKind::kReport;
+  message.kind = PeerKind::kHeartbeat;
   message.request = key;
-  message.report = waiting.heard;
-  const auto told = told_.find(waiting.heard.machine);
+  message.heartbeat = waiting.heartbeat;
+  const auto told = told_.find(waiting.heartbeat.machine);
   if (told != told_.end() && !waiting.in_full && told->second.leader == member &&
-      told->second.term == waiting.heard.token && told->second.session == waiting.heard.session &&
-      told->second.seq < waiting.heard.seq && told->second.state == protocol::report_state(waiting.heard)) {
-    message.kind = PeerKind::kSame;
+      told->second.term == waiting.heartbeat.fencing_token &&
+      told->second.agent_epoch == waiting.heartbeat.agent_epoch && told->second.seq < waiting.heartbeat.seq &&
+      told->second.state == protocol::heartbeat_state(waiting.heartbeat)) {
+    message.kind = PeerKind::kUnchangedHeartbeat;
     message.base_seq = told->second.seq;
   }
   send(member, std::move(message));
@@ -108,15 +110,15 @@
 
 std::string Controller::lighter_member() {
   const double now = core_.now.steady;
-  if (now - reports_window_ >= 1) {
-    reports_window_ = now;
-    reports_taken_ = 0;
+  if (now - heartbeat_window_began_ >= 1) {
+    heartbeat_window_began_ = now;
+    heartbeats_taken_ = 0;
   }
-  if (++reports_taken_ <= static_cast<std::size_t>(core_.settings.cpu_share * c::kDirectReportsPerCore))
+  if (++heartbeats_taken_ <= static_cast<std::size_t>(core_.settings.cpu_share * c::kDirectHeartbeatsPerCore))
     return {};
   std::vector<const std::string*> fresh;
   for (const auto& [member, peer] : peers_)
-    if (peer.up && !peer.leading && peer.state_ok && now - peer.heard < c::kPeerFreshS)
+    if (peer.up && !peer.leading && peer.state_ok && now - peer.last_contact < c::kPeerFreshS)
       fresh.push_back(&member);
   return fresh.empty() ? std::string() : *fresh[next_peer_++ % fresh.size()];
 }
@@ -132,9 +134,9 @@
 void Controller::serve(std::uint64_t key) {
   auto& waiting = waiting_.at(key);
   set_state(waiting, Waiting::State::kLocal);
-  if (waiting.report) {
-    const auto report = std::move(waiting.heard);
-    return scheduler_.report(key, report);
+  if (waiting.is_heartbeat) {
+    const auto heartbeat = std::move(waiting.heartbeat);
+    return scheduler_.heartbeat(key, heartbeat);
   }
   const auto reply = [this, key](const UserAnswer& a) { answer_user(key, a); };
   const std::string jobs = n::kPathJobs;
@@ -163,8 +165,8 @@
 }
 
 // All hear of it before the user does: whoever leads, or is about to, must not answer anything older, and
-// whoever answers reports stops its tasks. Who misses it gets it with the next status, until it says that it
-// knows.
+// whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it says that
+// it knows.
 void Controller::tell_withdrawn(protocol::JobId id) {
   if (!core_.withdrawals.tell(id)) return;
   for (const auto& [member, peer] : peers_) {
@@ -183,7 +185,7 @@
   set_state(found->second, Waiting::State::kLocal);
   const Waiting waiting = std::move(found->second);
   waiting_.erase(found);
-  if (!waiting.report) --places_taken(waiting);
+  if (!waiting.is_heartbeat) --places_taken(waiting);
   if (!waiting.from_peer) {
     core_.out.replies.push_back({waiting.token, status, retry_after_s, std::move(body), false});
     return;
@@ -197,8 +199,8 @@
   send(waiting.origin, std::move(message));
 }
 
-void Controller::answer_report(std::uint64_t key, int status, std::vector<protocol::Order> orders,
-                               std::uint64_t term) {
+void Controller::answer_heartbeat(std::uint64_t key, int status, std::vector<protocol::Command> commands,
+                                  std::uint64_t term) {
   const auto found = waiting_.find(key);
   if (found == waiting_.end()) return;
   set_state(found->second, Waiting::State::kLocal);
@@ -206,14 +208,14 @@
   waiting_.erase(found);
   if (!waiting.from_peer) {
     core_.out.replies.push_back(
-        {waiting.token, status, 0, status == 200 ? protocol::orders_json(term, orders) : "{}", false});
+        {waiting.token, status, 0, status == 200 ? protocol::commands_json(term, commands) : "{}", false});
     return;
   }
   PeerMessage message;
-  message.kind = PeerKind::kOrders;
+  message.kind = PeerKind::kCommands;
   message.request = waiting.origin_request;
   message.status = static_cast<std::uint64_t>(status);
-  message.orders = std::move(orders);
+  message.commands = std::move(commands);
   send(waiting.origin, std::move(message));
 }
 
--- a/src/coordination/scheduler.cpp
+++ b/src/coordination/scheduler.cpp
@@ -14,7 +14,7 @@
 using bookkeeping::JobState;
 using bookkeeping::Machine;
 using bookkeeping::TaskRun;
-using protocol::TaskReport;
+using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
@@ -34,14 +34,14 @@
   return "?";
 }
 
-// By reports a gang waits for two of them, one that confirms its holds and one whose answer launches. That is
-// worth a connection for each launch where it takes a good part of the shortest start that users expect.
+// By heartbeats a gang waits for two of them, one that confirms its holds and one whose answer launches. That
+// is worth a connection for each launch where it takes a good part of the shortest start that users expect.
 bool launches_directly(const protocol::Settings& settings) {
   double shortest = c::kDirectDefaultWaitS;
   for (const auto& objective : settings.objectives)
     if (objective.kind == "wait" || objective.kind == "guarantee")
       shortest = std::min(shortest, objective.within_s);
-  return 2 * settings.report_s * c::kReportJitter > shortest * c::kDirectWaitShare;
+  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitter > shortest * c::kDirectWaitShare;
 }
 
 Scheduler::Scheduler(Core& core, Election& election, const PeerVersions& versions, Actions actions)
@@ -115,7 +115,8 @@
 
 void Scheduler::add_hold(Job& job, Machine& machine) {
   const double now = core_.now.steady;
-  job.holds.push_back({machine.name, now, now + c::kHoldReports * core_.settings.report_s, false});
+  job.holds.push_back(
+      {machine.name, now, now + c::kReservationHeartbeats * core_.settings.heartbeat_interval_s, false});
   machine.holds.insert(job.spec.id);
   machine.room_known = false;
   machine.gang_cpus += job.spec.cpus;
@@ -136,7 +137,7 @@
   dirty_ = true;
 }
 
-void Scheduler::set_strays(Machine& machine, std::vector<TaskReport> strays) {
+void Scheduler::set_strays(Machine& machine, std::vector<TaskStatus> strays) {
   if (strays.empty() && machine.strays.empty()) return;
   core_.quota.refund_strays(machine);
   machine.strays = std::move(strays);
@@ -269,7 +270,7 @@
   }
   if (phase_ == LeaderPhase::kServing) {
     // Holds lapse and waits end by time alone, so a quiet moment needs rounds too.
-    if (now - last_round_ > std::min(1.0, core_.settings.report_s / 2)) dirty_ = true;
+    if (now - last_round_ > std::min(1.0, core_.settings.heartbeat_interval_s / 2)) dirty_ = true;
     round();
     log_wait_reasons();
   }
--- a/src/coordination/scheduler.hpp
+++ b/src/coordination/scheduler.hpp
@@ -1,6 +1,6 @@
-// The leader's work: reports in, orders out; gangs in rounds of holds, arrays into the room that reports
-// show. scheduler.cpp has the ledger, reports and time; placing.cpp the queues, arrays and gangs; direct.cpp
-// direct commands.
+// The leader's work: heartbeats in, commands out; gangs in rounds of holds, arrays into the room that
+// heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
+// gangs; direct.cpp direct commands.
 #pragma once
 
 #include <deque>
@@ -27,26 +27,26 @@
 enum class LeaderPhase : std::uint8_t {
   kNone,       // not the leader
   kLoading,    // reads the ledger
-  kGathering,  // waits for a full round of reports
+  kGathering,  // waits for a full round of heartbeats
   kServing,    // places
 };
 const char* to_text(LeaderPhase phase);
 
-// Whether launches go by direct commands on this site, and not only in the answers to reports.
+// Whether launches go by direct commands on this site, and not only in the answers to heartbeats.
 bool launches_directly(const protocol::Settings& settings);
 
 // A command or question that goes straight to a worker, from here or from another controller on our behalf.
 struct DirectCall {
   std::uint64_t id = 0;
   std::string addr;
-  std::uint64_t session = 0;
-  std::vector<protocol::Order> orders;
+  std::uint64_t agent_epoch = 0;
+  std::vector<protocol::Command> commands;
 };
 
 class Scheduler {
  public:
   struct Actions {
-    std::function<void(std::uint64_t key, int status, std::vector<protocol::Order> orders)> answer;
+    std::function<void(std::uint64_t key, int status, std::vector<protocol::Command> commands)> answer;
     std::function<void(const DirectCall& call)> direct;
   };
   Scheduler(Core& core, Election& election, const PeerVersions& versions, Actions actions);
@@ -54,12 +54,12 @@
   void begin();  // elected: forget everything, load the ledger
   void end();    // not the leader any more
   void tick();
-  void report(std::uint64_t key, const protocol::Report& report);
-  // A report that equals the one of `base_seq` but for its count. False: that one is not what the books stand
-  // on.
-  bool same_report(std::uint64_t key, const std::string& machine, std::uint64_t session, std::uint64_t seq,
-                   std::uint64_t token, std::uint64_t base_seq);
-  void direct_answer(std::uint64_t id, int status, const protocol::Report* report);
+  void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
+  // A heartbeat that equals the one of `base_seq` but for its count. False: that one is not what the books
+  // stand on.
+  bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
+                           std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
+  void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
   double serving_since() const { return serving_since_; }
@@ -141,33 +141,33 @@
   void load_dependencies();
   void loaded();
   bool gathered();
-  // ---- reports ----
-  bool entitled(std::uint64_t key, std::uint64_t token);
-  void first_contact(bookkeeping::Machine& machine, const protocol::Report& report);
-  void heard(bookkeeping::Machine& machine, std::uint64_t session, std::uint64_t seq);
-  void take_report(bookkeeping::Machine& machine, const protocol::Report& report, bool direct);
-  struct ReportContext {
-    bool new_session;  // of the machine, since its last report
-    bool direct;       // the answer to a direct command, not a report of its own
+  // ---- heartbeats ----
+  bool entitled(std::uint64_t key, std::uint64_t fencing_token);
+  void first_contact(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
+  void heard(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
+  void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, bool direct);
+  struct HeartbeatContext {
+    bool agent_restarted;  // of the machine, since its last heartbeat
+    bool direct;           // the answer to a direct command, not a heartbeat of its own
   };
-  void session_began(bookkeeping::Machine& machine);
-  void take_machine_facts(bookkeeping::Machine& machine, const protocol::Report& report);
+  void on_agent_restart(bookkeeping::Machine& machine);
+  void take_machine_facts(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
   void run_not_shown(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                     const ReportContext& context);
+                     const HeartbeatContext& context);
   bool run_shown(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                 const protocol::TaskReport& task);
+                 const protocol::TaskStatus& task);
   void run_began(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run);
   void adopt_unknown(bookkeeping::Machine& machine,
-                     const std::map<protocol::TaskId, const protocol::TaskReport*>& shown,
+                     const std::map<protocol::TaskId, const protocol::TaskStatus*>& shown,
                      const std::set<protocol::TaskId>& settled);
   void confirm_holds(bookkeeping::Machine& machine);
   void serve_machine(std::uint64_t key, bookkeeping::Machine& machine);
-  void answer_report(bookkeeping::Machine& machine, std::uint64_t key);
+  void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
   void task_exited(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                   const protocol::TaskReport& task);
-  void adopt(bookkeeping::Machine& machine, const protocol::TaskReport& task);
-  void clear_later(bookkeeping::Machine& machine, const protocol::TaskReport& task);
-  std::vector<protocol::Order> orders_for(bookkeeping::Machine& machine);
+                   const protocol::TaskStatus& task);
+  void adopt(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
+  void clear_later(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
+  std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
   void run_lost(bookkeeping::Job& job, std::uint32_t index, const char* why);
   void lose_tasks(bookkeeping::Machine& machine, const char* why);
   void blame(bookkeeping::Machine& machine, bookkeeping::Job& job);
@@ -182,7 +182,7 @@
   void give_back(bookkeeping::Job& job, std::uint32_t index);
   void add_hold(bookkeeping::Job& job, bookkeeping::Machine& machine);
   void release_holds(bookkeeping::Job& job);
-  void set_strays(bookkeeping::Machine& machine, std::vector<protocol::TaskReport> strays);
+  void set_strays(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> strays);
   void clear_unseen(bookkeeping::Machine& machine);
   void count_unseen();
   // ---- placing ----
@@ -225,7 +225,7 @@
     return open_direct_.size() <
            static_cast<std::size_t>(core_.settings.max_connections / constants::kDirectSocketPart);
   }
-  void direct(bookkeeping::Machine& machine, std::vector<protocol::Order> orders);
+  void direct(bookkeeping::Machine& machine, std::vector<protocol::Command> commands);
   void ask(bookkeeping::Machine& machine) { direct(machine, {}); }
   void ask_unseen();
   void launch_directly(bookkeeping::Machine& machine);
@@ -269,7 +269,7 @@
   bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
   bool first_launch_seen_ = false;
   std::uint64_t attempt_counter_ = 0;
-  std::vector<std::pair<std::uint64_t, protocol::Report>> early_;  // reports that came while loading
+  std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   std::set<std::string> overdue_;            // machines that may hold withdrawn work
@@ -306,7 +306,7 @@
   mutable double gang_use_until_ = 0;
   struct OpenDirect {
     std::string machine;
-    std::uint64_t session = 0, known_session = 0, known_seq = 0;
+    std::uint64_t agent_epoch = 0, known_agent_epoch = 0, known_seq = 0;
     std::vector<std::pair<protocol::TaskId, std::uint64_t>> launches;
   };
   std::map<std::uint64_t, OpenDirect> open_direct_;
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -1,4 +1,4 @@
-// A new leader: reads the ledger, and gathers a full round of reports before it places anything.
+// A new leader: reads the ledger, and gathers a full round of heartbeats before it places anything.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -50,7 +50,7 @@
   ++generation_;
   change_log_.end();
   core_.writer.clear_guard();
-  for (const auto& [key, report] : early_) actions_.answer(key, 421, {});
+  for (const auto& [key, heartbeat] : early_) actions_.answer(key, 421, {});
   early_.clear();
   waiting_gangs_.clear();
   queues_.clear();
@@ -139,8 +139,8 @@
 }
 
 // A waiting job whose dependencies are all over may run already, launched by an earlier leader: it is known
-// as released before the first report is looked at, or its tasks would be stopped as nobody's. `tick` goes on
-// when that is decided.
+// as released before the first heartbeat is looked at, or its tasks would be stopped as nobody's. `tick` goes
+// on when that is decided.
 void Scheduler::load_dependencies() {
   std::vector<Job*> waiting;
   for (auto& [id, job] : core_.jobs.all())
@@ -181,13 +181,13 @@
         expect_cancelled_work_gone(machine, *job);
   }
   core_.withdrawals.notices_read(election_.last_renewed());
-  const double round = core_.settings.report_s * c::kReportJitter + c::kRoundSlackS;
+  const double round = core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   gather_until_ = core_.now.steady + (unseen_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
   spdlog::info("ledger read: {} jobs, {} machines", core_.jobs.all().size(), core_.machines.all().size());
   set_phase(LeaderPhase::kGathering);
   auto early = std::move(early_);
   early_.clear();
-  for (auto& [key, body] : early) report(key, body);
+  for (auto& [key, body] : early) heartbeat(key, body);
 }
 
 // A full round: every machine that an earlier leader may have used has proved what is on it, or does not
--- a/src/coordination/withdrawals.hpp
+++ b/src/coordination/withdrawals.hpp
@@ -1,5 +1,5 @@
 // What users were told of cancellations, and how far this controller surely knows of all that anybody told.
-// It bounds how long a leader answers reports: docs/design.md, "Cancellations".
+// It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
@@ -52,10 +52,10 @@
   bool current(double now) const;
 
   // ---- the bound that follows ----
-  // Seconds after `known_up_to` for which a report may be answered.
+  // Seconds after `known_up_to` for which a heartbeat may be answered.
   double answer_s() const { return answer_s_; }
   // Too little time is left between a lease and a cancellation to let the books lag at all: then nobody but
-  // the leader tells, and only once no former leader can be answering reports.
+  // the leader tells, and only once no former leader can be answering heartbeats.
   bool strict() const { return strict_; }
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -48,7 +48,7 @@
               carry_out();
             },
             [](const std::string& target) {
-              return target == names::kPathReport || target == names::kPathReady ||
+              return target == names::kPathHeartbeat || target == names::kPathReady ||
                      target == names::kPathMetrics;
             }),
         peer_server_(io_, c::kLinksPerMember * std::max<std::size_t>(1, settings.peers.size()),
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -44,7 +44,7 @@
 boost::json::object job_json(const JobSpec& spec);
 
 enum class TaskPhase : std::uint8_t { kFetching, kWaiting, kRunning, kSaving, kExited };
-enum class ExitWhy : std::uint8_t {
+enum class ExitReason : std::uint8_t {
   kNone,
   kDone,
   kStopped,
@@ -56,7 +56,7 @@
   kUnknown
 };
 const char* to_text(TaskPhase phase);
-const char* to_text(ExitWhy why);
+const char* to_text(ExitReason reason);
 
 struct TaskId {
   JobId job = 0;
@@ -67,38 +67,38 @@
 std::string task_text(const TaskId& task);
 std::optional<TaskId> parse_task(std::string_view text);
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kFetching;
-  ExitWhy why = ExitWhy::kNone;
+  ExitReason exit_reason = ExitReason::kNone;
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::uint64_t agent_epoch = 0, seq = 0, fencing_token = 0;
+  std::optional<double> interruption_notice_s;
+  std::vector<TaskStatus> tasks;
 };
-std::optional<Report> parse_report(std::string_view body);
+std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
-struct Order {
-  enum class Op : std::uint8_t { kStart, kStop, kForget } op = Op::kStart;
+struct Command {
+  enum class Op : std::uint8_t { kLaunch, kStop, kClear } op = Op::kLaunch;
   TaskId task;
   std::uint64_t attempt = 0;
   double grace_s = 0;
 };
-std::string orders_json(std::uint64_t token, const std::vector<Order>& orders,
-                        std::optional<std::uint64_t> session = std::nullopt);
+std::string commands_json(std::uint64_t fencing_token, const std::vector<Command>& commands,
+                          std::optional<std::uint64_t> agent_epoch = std::nullopt);
 // For the stand-ins of the tests, which play the workers' side.
-std::string report_json(const Report& report);
-struct OrderList {
-  std::optional<std::uint64_t> token, session;
-  std::vector<Order> orders;
+std::string heartbeat_json(const Heartbeat& heartbeat);
+struct CommandList {
+  std::optional<std::uint64_t> fencing_token, agent_epoch;
+  std::vector<Command> commands;
 };
-std::optional<OrderList> parse_orders(std::string_view body);
+std::optional<CommandList> parse_commands(std::string_view body);
 
 struct MachineType {
   std::string name;
@@ -127,7 +127,7 @@
 
 std::string job_state_json(JobId id, const char* state);
 std::string job_poll_json(JobId id, const char* state, std::uint64_t done, std::uint64_t running);
-// 421: whom a worker should report to.
+// 421: whom a worker should heartbeat to.
 std::string redirect_json(const std::string& member);
 std::string error_json(const std::string& reason);
 
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -45,25 +45,25 @@
 inline constexpr char kStateDone[] = "done";
 inline constexpr char kStateCancelled[] = "withdrawn";
 
-// ---- reports and orders ----
+// ---- heartbeats and commands ----
 inline constexpr char kMachine[] = "host";
 inline constexpr char kMachines[] = "hosts";
 inline constexpr char kAddr[] = "addr";
-inline constexpr char kSession[] = "shift";
+inline constexpr char kAgentEpoch[] = "shift";
 inline constexpr char kSeq[] = "tally";
-inline constexpr char kToken[] = "baton";
-inline constexpr char kNoticeS[] = "warningS";
+inline constexpr char kFencingToken[] = "baton";
+inline constexpr char kInterruptionNoticeS[] = "warningS";
 inline constexpr char kAttempt[] = "try";
-inline constexpr char kWhy[] = "cause";
+inline constexpr char kExitReason[] = "cause";
 inline constexpr char kSaved[] = "stored";
-inline constexpr char kOrders[] = "orders";
+inline constexpr char kCommands[] = "orders";
 inline constexpr char kOp[] = "verb";
 inline constexpr char kGraceS[] = "leewayS";
-inline constexpr char kReportTo[] = "foreman";
+inline constexpr char kRedirectTo[] = "foreman";
 
-inline constexpr char kOpStart[] = "launch";
+inline constexpr char kOpLaunch[] = "launch";
 inline constexpr char kOpStop[] = "stop";
-inline constexpr char kOpForget[] = "clear";
+inline constexpr char kOpClear[] = "clear";
 
 inline constexpr char kTaskFetching[] = "pulling";
 inline constexpr char kTaskWaiting[] = "waiting";
@@ -71,14 +71,14 @@
 inline constexpr char kTaskSaving[] = "flushing";
 inline constexpr char kTaskExited[] = "ended";
 
-inline constexpr char kWhyDone[] = "done";
-inline constexpr char kWhyStopped[] = "stopped";
-inline constexpr char kWhyPeers[] = "mates_gone";
-inline constexpr char kWhyAlone[] = "alone";
-inline constexpr char kWhyError[] = "error";
-inline constexpr char kWhyNoRoom[] = "full";
-inline constexpr char kWhyBusy[] = "in_use";
-inline constexpr char kWhyUnknown[] = "unknown";
+inline constexpr char kExitDone[] = "done";
+inline constexpr char kExitStopped[] = "stopped";
+inline constexpr char kExitPeers[] = "mates_gone";
+inline constexpr char kExitAlone[] = "alone";
+inline constexpr char kExitError[] = "error";
+inline constexpr char kExitNoRoom[] = "full";
+inline constexpr char kExitBusy[] = "in_use";
+inline constexpr char kExitUnknown[] = "unknown";
 
 // ---- cloud ----
 inline constexpr char kTypeName[] = "sku";
@@ -114,7 +114,7 @@
 inline constexpr char kPathJobs[] = "/work";
 inline constexpr char kPathCancel[] = "/abort";
 inline constexpr char kPathReady[] = "/ready";
-inline constexpr char kPathReport[] = "/hello";
+inline constexpr char kPathHeartbeat[] = "/hello";
 inline constexpr char kPathMetrics[] = "/metrics";
 inline constexpr char kPathCommands[] = "/commands";
 inline constexpr char kPathCatalog[] = "/catalog";
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -41,36 +41,36 @@
   put_varint(out, static_cast<std::uint64_t>(std::llround(std::clamp(seconds, 0.0, 1e9) * 1000)));
 }
 
-void put_state(std::string& out, const Report& r) {
+void put_state(std::string& out, const Heartbeat& r) {
   put_text(out, r.addr);
   put_text(out, r.type);
   put_text(out, r.zone);
-  put_varint(out, (r.spot ? 1u : 0u) | (r.notice_s ? 2u : 0u));
-  if (r.notice_s) put_seconds(out, *r.notice_s);
+  put_varint(out, (r.spot ? 1u : 0u) | (r.interruption_notice_s ? 2u : 0u));
+  if (r.interruption_notice_s) put_seconds(out, *r.interruption_notice_s);
   put_varint(out, r.tasks.size());
   for (const auto& task : r.tasks) {
     put_varint(out, task.task.job);
     put_varint(out, task.task.index);
     put_varint(out, task.attempt);
-    put_varint(out, static_cast<std::uint64_t>(task.phase) | static_cast<std::uint64_t>(task.why) << 3 |
-                        (task.saved ? 1u : 0u) << 7);
+    put_varint(out, static_cast<std::uint64_t>(task.phase) |
+                        static_cast<std::uint64_t>(task.exit_reason) << 3 | (task.saved ? 1u : 0u) << 7);
   }
 }
 
-void put_report(std::string& out, const Report& r) {
+void put_heartbeat(std::string& out, const Heartbeat& r) {
   put_text(out, r.machine);
-  put_varint(out, r.session);
+  put_varint(out, r.agent_epoch);
   put_varint(out, r.seq);
-  put_varint(out, r.token);
+  put_varint(out, r.fencing_token);
   put_state(out, r);
 }
 
-bool take_head(std::string_view& in, Report& r) {
-  return take_text(in, r.machine) && take_number(in, r.session) && take_number(in, r.seq) &&
-         take_number(in, r.token);
+bool take_head(std::string_view& in, Heartbeat& r) {
+  return take_text(in, r.machine) && take_number(in, r.agent_epoch) && take_number(in, r.seq) &&
+         take_number(in, r.fencing_token);
 }
 
-bool take_report(std::string_view& in, Report& r) {
+bool take_heartbeat(std::string_view& in, Heartbeat& r) {
   std::uint64_t flags = 0, count = 0;
   if (!take_head(in, r) || !take_text(in, r.addr) || !take_text(in, r.type) || !take_text(in, r.zone) ||
       !take_number(in, flags) || flags > 3)
@@ -79,67 +79,67 @@
   if ((flags & 2) != 0) {
     std::uint64_t ms = 0;
     if (!take_number(in, ms) || ms > 1'000'000'000'000) return false;
-    r.notice_s = static_cast<double>(ms) / 1000;
+    r.interruption_notice_s = static_cast<double>(ms) / 1000;
   }
   if (!take_number(in, count) || count > in.size()) return false;  // a task takes more than a byte
   r.tasks.reserve(count);
   for (; count > 0; --count) {
-    TaskReport task;
+    TaskStatus task;
     std::uint64_t index = 0, bits = 0;
     if (!take_number(in, task.task.job) || !take_number(in, index) || index >= constants::kPiecesMax ||
         !take_number(in, task.attempt) || !take_number(in, bits) || bits > 255)
       return false;
     const auto phase = bits & 7, why = (bits >> 3) & 15;
     if (phase > static_cast<std::uint64_t>(TaskPhase::kExited) ||
-        why > static_cast<std::uint64_t>(ExitWhy::kUnknown))
+        why > static_cast<std::uint64_t>(ExitReason::kUnknown))
       return false;
     task.task.index = static_cast<std::uint32_t>(index);
     task.phase = static_cast<TaskPhase>(phase);
-    task.why = static_cast<ExitWhy>(why);
+    task.exit_reason = static_cast<ExitReason>(why);
     task.saved = (bits & 128) != 0;
     r.tasks.push_back(task);
   }
   return true;
 }
 
-void put_orders(std::string& out, const std::vector<Order>& orders) {
-  put_varint(out, orders.size());
-  for (const auto& order : orders) {
-    put_varint(out, static_cast<std::uint64_t>(order.op));
-    put_varint(out, order.task.job);
-    put_varint(out, order.task.index);
-    put_varint(out, order.attempt);
-    if (order.op == Order::Op::kStop) put_seconds(out, order.grace_s);
+void put_commands(std::string& out, const std::vector<Command>& commands) {
+  put_varint(out, commands.size());
+  for (const auto& command : commands) {
+    put_varint(out, static_cast<std::uint64_t>(command.op));
+    put_varint(out, command.task.job);
+    put_varint(out, command.task.index);
+    put_varint(out, command.attempt);
+    if (command.op == Command::Op::kStop) put_seconds(out, command.grace_s);
   }
 }
 
-bool take_orders(std::string_view& in, std::vector<Order>& orders) {
+bool take_commands(std::string_view& in, std::vector<Command>& commands) {
   std::uint64_t count = 0;
   if (!take_number(in, count) || count > in.size()) return false;
-  orders.reserve(count);
+  commands.reserve(count);
   for (; count > 0; --count) {
-    Order order;
+    Command command;
     std::uint64_t op = 0, index = 0, grace = 0;
-    if (!take_number(in, op) || op > static_cast<std::uint64_t>(Order::Op::kForget) ||
-        !take_number(in, order.task.job) || !take_number(in, index) || index >= constants::kPiecesMax ||
-        !take_number(in, order.attempt))
+    if (!take_number(in, op) || op > static_cast<std::uint64_t>(Command::Op::kClear) ||
+        !take_number(in, command.task.job) || !take_number(in, index) || index >= constants::kPiecesMax ||
+        !take_number(in, command.attempt))
       return false;
-    order.op = static_cast<Order::Op>(op);
-    order.task.index = static_cast<std::uint32_t>(index);
-    if (order.op == Order::Op::kStop) {
+    command.op = static_cast<Command::Op>(op);
+    command.task.index = static_cast<std::uint32_t>(index);
+    if (command.op == Command::Op::kStop) {
       if (!take_number(in, grace) || grace > 1'000'000'000'000) return false;
-      order.grace_s = static_cast<double>(grace) / 1000;
+      command.grace_s = static_cast<double>(grace) / 1000;
     }
-    orders.push_back(order);
+    commands.push_back(command);
   }
   return true;
 }
 
 }  // namespace
 
-std::string report_state(const Report& report) {
+std::string heartbeat_state(const Heartbeat& heartbeat) {
   std::string out;
-  put_state(out, report);
+  put_state(out, heartbeat);
   return out;
 }
 
@@ -214,33 +214,33 @@
     case PeerKind::kNudge:
       put_varint(out, m.job);
       break;
-    case PeerKind::kReport:
+    case PeerKind::kHeartbeat:
       put_varint(out, m.request);
-      put_report(out, m.report);
+      put_heartbeat(out, m.heartbeat);
       break;
-    case PeerKind::kSame:
+    case PeerKind::kUnchangedHeartbeat:
       put_varint(out, m.request);
-      put_text(out, m.report.machine);
-      put_varint(out, m.report.session);
-      put_varint(out, m.report.seq);
-      put_varint(out, m.report.token);
+      put_text(out, m.heartbeat.machine);
+      put_varint(out, m.heartbeat.agent_epoch);
+      put_varint(out, m.heartbeat.seq);
+      put_varint(out, m.heartbeat.fencing_token);
       put_varint(out, m.base_seq);
       break;
-    case PeerKind::kOrders:
+    case PeerKind::kCommands:
       put_varint(out, m.request);
       put_varint(out, m.status);
-      put_orders(out, m.orders);
+      put_commands(out, m.commands);
       break;
     case PeerKind::kAsk:
       put_varint(out, m.request);
       put_text(out, m.target);
       put_varint(out, m.base_seq);
-      put_orders(out, m.orders);
+      put_commands(out, m.commands);
       break;
     case PeerKind::kAsked:
       put_varint(out, m.request);
       put_varint(out, m.status);
-      if (m.status != 0) put_report(out, m.report);
+      if (m.status != 0) put_heartbeat(out, m.heartbeat);
       break;
     case PeerKind::kQuota:
       put_text(out, m.body);
@@ -280,22 +280,22 @@
     case static_cast<std::uint64_t>(PeerKind::kNudge):
       good = take_number(in, m.job);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kReport):
-      good = take_number(in, m.request) && take_report(in, m.report);
+    case static_cast<std::uint64_t>(PeerKind::kHeartbeat):
+      good = take_number(in, m.request) && take_heartbeat(in, m.heartbeat);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kSame):
-      good = take_number(in, m.request) && take_head(in, m.report) && take_number(in, m.base_seq);
+    case static_cast<std::uint64_t>(PeerKind::kUnchangedHeartbeat):
+      good = take_number(in, m.request) && take_head(in, m.heartbeat) && take_number(in, m.base_seq);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kOrders):
-      good = take_number(in, m.request) && take_number(in, m.status) && take_orders(in, m.orders);
+    case static_cast<std::uint64_t>(PeerKind::kCommands):
+      good = take_number(in, m.request) && take_number(in, m.status) && take_commands(in, m.commands);
       break;
     case static_cast<std::uint64_t>(PeerKind::kAsk):
       good = take_number(in, m.request) && take_text(in, m.target) && take_number(in, m.base_seq) &&
-             take_orders(in, m.orders);
+             take_commands(in, m.commands);
       break;
     case static_cast<std::uint64_t>(PeerKind::kAsked):
       good = take_number(in, m.request) && take_number(in, m.status) &&
-             (m.status == 0 || take_report(in, m.report));
+             (m.status == 0 || take_heartbeat(in, m.heartbeat));
       break;
     case static_cast<std::uint64_t>(PeerKind::kQuota):
       good = take_text(in, m.body);
--- a/src/protocol/peer_codec.hpp
+++ b/src/protocol/peer_codec.hpp
@@ -16,13 +16,13 @@
   kForward = 2,  // a user's request
   kAnswer = 3,   // its answer
   kNudge = 4,
-  kReport = 5,  // a worker's report in full
-  kSame = 6,    // a worker's report that changes nothing since the one named
-  kOrders = 7,  // the answer to either
-  kAsk = 8,     // put a direct question to a worker for me
-  kAsked = 9,   // what it said
-  kTold = 10,   // withdrawals that the sender's users were told of
-  kQuota = 11,  // of quota leases; its body has a codec of its own
+  kHeartbeat = 5,           // a worker's heartbeat in full
+  kUnchangedHeartbeat = 6,  // a worker's heartbeat that changes nothing since the one named
+  kCommands = 7,            // the answer to either
+  kAsk = 8,                 // put a direct question to a worker for me
+  kAsked = 9,               // what it said
+  kTold = 10,               // withdrawals that the sender's users were told of
+  kQuota = 11,              // of quota leases; its body has a codec of its own
 };
 
 // One message; which fields carry meaning depends on the kind.
@@ -49,12 +49,13 @@
   std::uint64_t status = 0, retry_after_s = 0;
   // kNudge: a job that the sender wrote into the ledger itself
   std::uint64_t job = 0;
-  // kReport, kAsked: what the worker says. kSame: only its machine, session, count and token.
-  Report report;
-  std::uint64_t base_seq = 0;  // kSame: the report that this one equals
-  // kOrders, kAsk. Of kAsk the worker's address is `target`, and the session for which the orders hold
-  // `base_seq`.
-  std::vector<Order> orders;
+  // kHeartbeat, kAsked: what the worker says. kUnchangedHeartbeat: only its machine, agent_epoch, count and
+  // token.
+  Heartbeat heartbeat;
+  std::uint64_t base_seq = 0;  // kUnchangedHeartbeat: the heartbeat that this one equals
+  // kCommands, kAsk. Of kAsk the worker's address is `target`, and the agent_epoch for which the commands
+  // hold `base_seq`.
+  std::vector<Command> commands;
 };
 
 void put_varint(std::string& out, std::uint64_t value);
@@ -64,8 +65,8 @@
 std::string encode(const PeerMessage& message);
 std::optional<PeerMessage> decode(std::string_view message);
 
-// All that a report says beside its count, as bytes that can be compared.
-std::string report_state(const Report& report);
+// All that a heartbeat says beside its count, as bytes that can be compared.
+std::string heartbeat_state(const Heartbeat& heartbeat);
 
 // A frame is any number of messages, each behind its length.
 void put_message(std::string& frame, const PeerMessage& message);
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -159,7 +159,7 @@
   });
   const auto& workers = section(site, "workers", "deployment.");
   const std::string w = "deployment.workers.";
-  s.report_s = number(workers, "report_s", w, 0.1, 3600);
+  s.heartbeat_interval_s = number(workers, "report_s", w, 0.1, 3600);
   s.lease_s = number(workers, "lease_s", w, 0.5, 86400);
   s.gang_wait_s = number(workers, "gang_wait_s", w, 0.1, 86400);
   s.gang_peer_s = number(workers, "gang_peer_s", w, 0.1, 86400);
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -43,7 +43,7 @@
   double clock_error_ms = 0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 30;
+  double heartbeat_interval_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 30;
   // Of the state service: the smaller of its present limits and of those announced for later, since the
   // moment of the change is not told.
   double state_rps = 100, state_write_rps = 40, value_kb = 16;
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -1,4 +1,4 @@
-// What workers send and hear: reports, orders, redirections.
+// What workers send and hear: heartbeats, commands, redirections.
 #include <algorithm>
 #include <cmath>
 
@@ -22,12 +22,14 @@
                                                          {TaskPhase::kRunning, n::kTaskRunning},
                                                          {TaskPhase::kSaving, n::kTaskSaving},
                                                          {TaskPhase::kExited, n::kTaskExited}};
-constexpr std::pair<ExitWhy, const char*> kWhys[] = {
-    {ExitWhy::kDone, n::kWhyDone},   {ExitWhy::kStopped, n::kWhyStopped}, {ExitWhy::kPeers, n::kWhyPeers},
-    {ExitWhy::kAlone, n::kWhyAlone}, {ExitWhy::kError, n::kWhyError},     {ExitWhy::kNoRoom, n::kWhyNoRoom},
-    {ExitWhy::kBusy, n::kWhyBusy},   {ExitWhy::kUnknown, n::kWhyUnknown}};
-constexpr std::pair<Order::Op, const char*> kOps[] = {
-    {Order::Op::kStart, n::kOpStart}, {Order::Op::kStop, n::kOpStop}, {Order::Op::kForget, n::kOpForget}};
+constexpr std::pair<ExitReason, const char*> kExitReasonNames[] = {
+    {ExitReason::kDone, n::kExitDone},   {ExitReason::kStopped, n::kExitStopped},
+    {ExitReason::kPeers, n::kExitPeers}, {ExitReason::kAlone, n::kExitAlone},
+    {ExitReason::kError, n::kExitError}, {ExitReason::kNoRoom, n::kExitNoRoom},
+    {ExitReason::kBusy, n::kExitBusy},   {ExitReason::kUnknown, n::kExitUnknown}};
+constexpr std::pair<Command::Op, const char*> kOps[] = {{Command::Op::kLaunch, n::kOpLaunch},
+                                                        {Command::Op::kStop, n::kOpStop},
+                                                        {Command::Op::kClear, n::kOpClear}};
 
 template <typename Value, std::size_t Size>
 std::optional<Value> from_name(const std::pair<Value, const char*> (&table)[Size], std::string_view text) {
@@ -46,28 +48,28 @@
 }  // namespace
 
 const char* to_text(TaskPhase phase) { return to_name(kPhases, phase); }
-const char* to_text(ExitWhy why) { return to_name(kWhys, why); }
+const char* to_text(ExitReason reason) { return to_name(kExitReasonNames, reason); }
 
-std::optional<Report> parse_report(std::string_view body) {
+std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
   const auto value = parse_json(body);
   if (!value || !value->is_object()) return std::nullopt;
   const auto& object = value->get_object();
-  Report report;
+  Heartbeat heartbeat;
   const auto machine = word(object, n::kMachine), addr = word(object, n::kAddr),
              type = word(object, n::kType), zone = word(object, n::kZone);
-  const auto session = whole(object, n::kSession), seq = whole(object, n::kSeq);
-  if (!machine || !addr || !type || !zone || !session || !seq) return std::nullopt;
-  report.machine = *machine;
-  report.addr = *addr;
-  report.type = *type;
-  report.zone = *zone;
-  report.spot = flag(object, n::kSpot).value_or(false);
-  report.session = *session;
-  report.seq = *seq;
-  report.token = whole(object, n::kToken).value_or(0);
-  report.notice_s = amount(object, n::kNoticeS);
+  const auto agent_epoch = whole(object, n::kAgentEpoch), seq = whole(object, n::kSeq);
+  if (!machine || !addr || !type || !zone || !agent_epoch || !seq) return std::nullopt;
+  heartbeat.machine = *machine;
+  heartbeat.addr = *addr;
+  heartbeat.type = *type;
+  heartbeat.zone = *zone;
+  heartbeat.spot = flag(object, n::kSpot).value_or(false);
+  heartbeat.agent_epoch = *agent_epoch;
+  heartbeat.seq = *seq;
+  heartbeat.fencing_token = whole(object, n::kFencingToken).value_or(0);
+  heartbeat.interruption_notice_s = amount(object, n::kInterruptionNoticeS);
   const auto* tasks = field(object, n::kTasks);
-  if (tasks == nullptr) return report;
+  if (tasks == nullptr) return heartbeat;
   if (!tasks->is_array()) return std::nullopt;
   for (const auto& item : tasks->get_array()) {
     if (!item.is_object()) return std::nullopt;
@@ -78,35 +80,36 @@
     const auto task = parse_task(*name);
     const auto known = from_name(kPhases, *phase);
     if (!task || !known) return std::nullopt;
-    TaskReport one{*task, *attempt, *known, ExitWhy::kNone, flag(entry, n::kSaved).value_or(false)};
-    if (const auto why = word(entry, n::kWhy))
+    TaskStatus one{*task, *attempt, *known, ExitReason::kNone, flag(entry, n::kSaved).value_or(false)};
+    if (const auto reason = word(entry, n::kExitReason))
       // A cause that we don't know is treated as a failure, never as success.
-      one.why = from_name(kWhys, *why).value_or(ExitWhy::kError);
+      one.exit_reason = from_name(kExitReasonNames, *reason).value_or(ExitReason::kError);
     else if (one.phase == TaskPhase::kExited)
-      one.why = ExitWhy::kError;
-    report.tasks.push_back(one);
+      one.exit_reason = ExitReason::kError;
+    heartbeat.tasks.push_back(one);
   }
-  return report;
+  return heartbeat;
 }
 
-std::string report_json(const Report& report) {
+std::string heartbeat_json(const Heartbeat& heartbeat) {
   json::object object;
-  object[n::kMachine] = report.machine;
-  object[n::kAddr] = report.addr;
-  object[n::kType] = report.type;
-  object[n::kZone] = report.zone;
-  object[n::kSpot] = report.spot;
-  object[n::kSession] = report.session;
-  object[n::kSeq] = report.seq;
-  object[n::kToken] = report.token;
-  object[n::kNoticeS] = report.notice_s ? json::value(*report.notice_s) : json::value(nullptr);
+  object[n::kMachine] = heartbeat.machine;
+  object[n::kAddr] = heartbeat.addr;
+  object[n::kType] = heartbeat.type;
+  object[n::kZone] = heartbeat.zone;
+  object[n::kSpot] = heartbeat.spot;
+  object[n::kAgentEpoch] = heartbeat.agent_epoch;
+  object[n::kSeq] = heartbeat.seq;
+  object[n::kFencingToken] = heartbeat.fencing_token;
+  object[n::kInterruptionNoticeS] =
+      heartbeat.interruption_notice_s ? json::value(*heartbeat.interruption_notice_s) : json::value(nullptr);
   json::array tasks;
-  for (const auto& task : report.tasks) {
+  for (const auto& task : heartbeat.tasks) {
     json::object entry;
     entry[n::kTask] = task_text(task.task);
     entry[n::kAttempt] = task.attempt;
     entry[n::kState] = to_text(task.phase);
-    if (task.phase == TaskPhase::kExited) entry[n::kWhy] = to_text(task.why);
+    if (task.phase == TaskPhase::kExited) entry[n::kExitReason] = to_text(task.exit_reason);
     if (task.saved) entry[n::kSaved] = true;
     tasks.emplace_back(std::move(entry));
   }
@@ -114,32 +117,32 @@
   return json::serialize(object);
 }
 
-std::string orders_json(std::uint64_t token, const std::vector<Order>& orders,
-                        std::optional<std::uint64_t> session) {
+std::string commands_json(std::uint64_t fencing_token, const std::vector<Command>& commands,
+                          std::optional<std::uint64_t> agent_epoch) {
   json::object object;
-  object[n::kToken] = token;
-  if (session) object[n::kSession] = *session;
+  object[n::kFencingToken] = fencing_token;
+  if (agent_epoch) object[n::kAgentEpoch] = *agent_epoch;
   json::array list;
-  for (const auto& order : orders) {
+  for (const auto& command : commands) {
     json::object entry;
-    entry[n::kOp] = to_name(kOps, order.op);
-    entry[n::kTask] = task_text(order.task);
-    entry[n::kAttempt] = order.attempt;
-    if (order.op == Order::Op::kStop) entry[n::kGraceS] = order.grace_s;
+    entry[n::kOp] = to_name(kOps, command.op);
+    entry[n::kTask] = task_text(command.task);
+    entry[n::kAttempt] = command.attempt;
+    if (command.op == Command::Op::kStop) entry[n::kGraceS] = command.grace_s;
     list.emplace_back(std::move(entry));
   }
-  object[n::kOrders] = std::move(list);
+  object[n::kCommands] = std::move(list);
   return json::serialize(object);
 }
 
-std::optional<OrderList> parse_orders(std::string_view body) {
+std::optional<CommandList> parse_commands(std::string_view body) {
   const auto value = parse_json(body);
   if (!value || !value->is_object()) return std::nullopt;
   const auto& object = value->get_object();
-  OrderList result;
-  result.token = whole(object, n::kToken);
-  result.session = whole(object, n::kSession);
-  const auto* list = field(object, n::kOrders);
+  CommandList result;
+  result.fencing_token = whole(object, n::kFencingToken);
+  result.agent_epoch = whole(object, n::kAgentEpoch);
+  const auto* list = field(object, n::kCommands);
   if (list == nullptr) return result;
   if (!list->is_array()) return std::nullopt;
   for (const auto& item : list->get_array()) {
@@ -151,14 +154,14 @@
     const auto op = from_name(kOps, *op_name);
     const auto task = parse_task(*name);
     if (!op || !task) return std::nullopt;
-    result.orders.push_back({*op, *task, *attempt, amount(entry, n::kGraceS).value_or(0)});
+    result.commands.push_back({*op, *task, *attempt, amount(entry, n::kGraceS).value_or(0)});
   }
   return result;
 }
 
 std::string redirect_json(const std::string& member) {
   json::object object;
-  object[n::kReportTo] = member;
+  object[n::kRedirectTo] = member;
   return json::serialize(object);
 }
 
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -29,7 +29,7 @@
   // Called for each request; the answer follows through reply(token), now or later.
   using Handler =
       std::function<void(std::uint64_t token, std::string method, std::string target, std::string body)>;
-  // Whether a request keeps its place when connections run short (reports, health checks).
+  // Whether a request keeps its place when connections run short (heartbeats, health checks).
   using Favoured = std::function<bool(const std::string& target)>;
 
   HttpServer(boost::asio::io_context& io, ServerLimits limits, Handler handler, Favoured favoured);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -27,9 +27,17 @@
   }
 }
 
-constexpr PeerKind kKinds[] = {PeerKind::kStatus, PeerKind::kForward, PeerKind::kAnswer, PeerKind::kTold,
-                               PeerKind::kNudge,  PeerKind::kReport,  PeerKind::kSame,   PeerKind::kOrders,
-                               PeerKind::kAsk,    PeerKind::kAsked,   PeerKind::kQuota};
+constexpr PeerKind kKinds[] = {PeerKind::kStatus,
+                               PeerKind::kForward,
+                               PeerKind::kAnswer,
+                               PeerKind::kTold,
+                               PeerKind::kNudge,
+                               PeerKind::kHeartbeat,
+                               PeerKind::kUnchangedHeartbeat,
+                               PeerKind::kCommands,
+                               PeerKind::kAsk,
+                               PeerKind::kAsked,
+                               PeerKind::kQuota};
 
 PeerMessage sample(PeerKind kind) {
   PeerMessage m;
@@ -46,22 +54,23 @@
   if (kind == PeerKind::kTold) m.first = 300, m.jobs = {412, 7, 100000};
   if (kind == PeerKind::kStatus)
     m.question = 77777, m.echo = 700, m.echo_incarnation = 1u << 30, m.told = 302, m.taken = 3;
-  if (kind == PeerKind::kReport || kind == PeerKind::kSame || kind == PeerKind::kAsked) {
+  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kUnchangedHeartbeat || kind == PeerKind::kAsked) {
     m.request = 9, m.status = kind == PeerKind::kAsked ? 200 : 0;
-    m.report.machine = "host-000231", m.report.session = 3, m.report.seq = 700, m.report.token = 41;
-    m.base_seq = kind == PeerKind::kSame ? 699 : 0;
+    m.heartbeat.machine = "host-000231", m.heartbeat.agent_epoch = 3, m.heartbeat.seq = 700,
+    m.heartbeat.fencing_token = 41;
+    m.base_seq = kind == PeerKind::kUnchangedHeartbeat ? 699 : 0;
   }
-  if (kind == PeerKind::kReport || kind == PeerKind::kAsked) {
-    m.report.addr = "10.1.0.232:9000", m.report.type = "g8", m.report.zone = "a", m.report.spot = true,
-    m.report.notice_s = 12.5;
-    m.report.tasks = {{{412, 3}, 7, TaskPhase::kRunning, ExitWhy::kNone, false},
-                      {{412, 4}, 7, TaskPhase::kExited, ExitWhy::kStopped, true}};
+  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kAsked) {
+    m.heartbeat.addr = "10.1.0.232:9000", m.heartbeat.type = "g8", m.heartbeat.zone = "a",
+    m.heartbeat.spot = true, m.heartbeat.interruption_notice_s = 12.5;
+    m.heartbeat.tasks = {{{412, 3}, 7, TaskPhase::kRunning, ExitReason::kNone, false},
+                         {{412, 4}, 7, TaskPhase::kExited, ExitReason::kStopped, true}};
   }
-  if (kind == PeerKind::kOrders || kind == PeerKind::kAsk) {
-    m.request = 9, m.status = kind == PeerKind::kOrders ? 200 : 0;
-    m.orders = {{Order::Op::kStart, {412, 3}, 7, 0},
-                {Order::Op::kStop, {412, 4}, 7, 2.25},
-                {Order::Op::kForget, {412, 5}, 6, 0}};
+  if (kind == PeerKind::kCommands || kind == PeerKind::kAsk) {
+    m.request = 9, m.status = kind == PeerKind::kCommands ? 200 : 0;
+    m.commands = {{Command::Op::kLaunch, {412, 3}, 7, 0},
+                  {Command::Op::kStop, {412, 4}, 7, 2.25},
+                  {Command::Op::kClear, {412, 5}, 6, 0}};
   }
   if (kind == PeerKind::kAsk) m.target = "10.1.0.232:9000", m.base_seq = 3;
   return m;
@@ -81,10 +90,10 @@
     EXPECT_EQ(back->echo, message.echo);
     EXPECT_EQ(back->told, message.told);
     EXPECT_EQ(back->leading, message.leading);
-    EXPECT_EQ(back->report.machine, message.report.machine);
-    EXPECT_EQ(back->report.tasks.size(), message.report.tasks.size());
-    EXPECT_EQ(report_state(back->report), report_state(message.report));
-    EXPECT_EQ(back->orders.size(), message.orders.size());
+    EXPECT_EQ(back->heartbeat.machine, message.heartbeat.machine);
+    EXPECT_EQ(back->heartbeat.tasks.size(), message.heartbeat.tasks.size());
+    EXPECT_EQ(heartbeat_state(back->heartbeat), heartbeat_state(message.heartbeat));
+    EXPECT_EQ(back->commands.size(), message.commands.size());
   }
 }
 
@@ -105,11 +114,12 @@
       {PeerKind::kAnswer, "0303086865726465722d3190e4d0b287d3aeeefe012909f70302027b7d"},
       {PeerKind::kTold, "030a086865726465722d3190e4d0b287d3aeeefe0129ac02039c0307a08d06"},
       {PeerKind::kNudge, "0304086865726465722d3190e4d0b287d3aeeefe01299c03"},
-      {PeerKind::kReport,
+      {PeerKind::kHeartbeat,
        "0305086865726465722d3190e4d0b287d3aeeefe0129090b686f73742d30303032333103bc05290f31302e312e"
        "302e3233323a39303030026738016103d461029c030307029c0304079401"},
-      {PeerKind::kSame, "0306086865726465722d3190e4d0b287d3aeeefe0129090b686f73742d30303032333103bc0529bb05"},
-      {PeerKind::kOrders,
+      {PeerKind::kUnchangedHeartbeat,
+       "0306086865726465722d3190e4d0b287d3aeeefe0129090b686f73742d30303032333103bc0529bb05"},
+      {PeerKind::kCommands,
        "0307086865726465722d3190e4d0b287d3aeeefe012909c80103009c030307019c030407ca11029c030506"},
       {PeerKind::kAsk,
        "0308086865726465722d3190e4d0b287d3aeeefe0129090f31302e312e302e3233323a393030300303009c0303"
--- a/tests/loopback/site.cpp
+++ b/tests/loopback/site.cpp
@@ -21,8 +21,8 @@
 namespace robinford::loopback {
 namespace n = names;
 namespace json = boost::json;
-using protocol::ExitWhy;
-using protocol::Order;
+using protocol::Command;
+using protocol::ExitReason;
 using protocol::TaskId;
 using protocol::TaskPhase;
 
@@ -30,10 +30,10 @@
 
 constexpr char kHost[] = "127.0.0.1";
 constexpr double kTickS = 0.01;
-constexpr double kFetchS = 0.02;       // s that a worker takes to fetch an image
-constexpr double kReportTimeoutS = 4;  // s, by the protocol
-constexpr double kSubmitTimeoutS = 5;  // s, by the protocol
-constexpr double kPollTimeoutS = 2;    // s, by the protocol
+constexpr double kFetchS = 0.02;          // s that a worker takes to fetch an image
+constexpr double kHeartbeatTimeoutS = 4;  // s, by the protocol
+constexpr double kSubmitTimeoutS = 5;     // s, by the protocol
+constexpr double kPollTimeoutS = 2;       // s, by the protocol
 constexpr std::size_t kPollsAtOnce = 24;
 constexpr std::size_t kUserConnections = 64;
 const transport::ServerLimits kServerLimits{2000, 2000};
@@ -62,7 +62,7 @@
     controller.port = free_port();
     controller.peer_port = free_port();
     controller.users = std::make_shared<transport::HttpClient>(io_, kHost, controller.port, kUserConnections);
-    controller.reports =
+    controller.heartbeats =
         std::make_shared<transport::HttpClient>(io_, kHost, controller.port, kUserConnections);
   }
   start_workers();
@@ -138,7 +138,8 @@
   for (const auto& [team, amounts] : options_.teams)
     out << "[[deployment.teams]]\nname = \"" << team << "\"\ncpus = " << amounts.first
         << "\ncpus_max = " << amounts.second << "\n";
-  out << "[deployment.workers]\nreport_s = " << options_.report_s << "\nlease_s = " << options_.lease_s
+  out << "[deployment.workers]\nreport_s = " << options_.heartbeat_interval_s
+      << "\nlease_s = " << options_.lease_s
       << "\ngang_wait_s = 20.0\ngang_peer_s = 4.0\ncancel_s = " << options_.cancel_s
       << "\n[deployment.state]\nrps = " << options_.state_rps << "\nwrite_rps = " << options_.state_write_rps
       << "\nvalue_kb = 16.0\ntxn_ops = 32\n[deployment.cloud]\nrps = 20.0\nlist_lag_s = 0.5\n"
@@ -284,15 +285,15 @@
         io_, kServerLimits,
         [this, own = worker.get()](std::uint64_t token, const std::string&, const std::string&,
                                    const std::string& body) {
-          const auto list = protocol::parse_orders(body);
-          const bool good = list && list->token && *list->token >= own->token && list->session &&
-                            *list->session == own->session;
+          const auto list = protocol::parse_commands(body);
+          const bool good = list && list->fencing_token && *list->fencing_token >= own->fencing_token &&
+                            list->agent_epoch && *list->agent_epoch == own->agent_epoch;
           if (good) {
-            own->token = *list->token;
-            take_orders(*own, list->orders);
+            own->fencing_token = *list->fencing_token;
+            execute_commands(*own, list->commands);
           }
-          own->server->reply(token,
-                             {good ? 200 : 409, 0, protocol::report_json(report_of(*own)), false, false});
+          own->server->reply(
+              token, {good ? 200 : 409, 0, protocol::heartbeat_json(heartbeat_of(*own)), false, false});
         },
         [](const std::string&) { return true; });
     worker->server->listen(kHost, 0);
@@ -301,11 +302,11 @@
   }
 }
 
-void Site::end_task(Worker& worker, const TaskId& id, ExitWhy why) {
+void Site::end_task(Worker& worker, const TaskId& id, ExitReason exit_reason) {
   auto& task = worker.tasks.at(id);
   if (task.phase == TaskPhase::kRunning) record(EventKind::kTaskOff, id.job, id.index, worker.name);
   task.phase = TaskPhase::kExited;
-  task.why = why;
+  task.exit_reason = exit_reason;
   worker.changed = true;
 }
 
@@ -313,9 +314,9 @@
   const double present = now();
   if (present - worker.lease_from > options_.lease_s) {
     for (auto& [id, task] : worker.tasks)
-      if (task.phase != TaskPhase::kExited) end_task(worker, id, ExitWhy::kStopped);
+      if (task.phase != TaskPhase::kExited) end_task(worker, id, ExitReason::kStopped);
     worker.tasks.clear();
-    ++worker.session;
+    ++worker.agent_epoch;
     worker.count = 0;
     worker.lease_from = present;
     worker.in_flight = false;
@@ -329,82 +330,82 @@
       record(EventKind::kTaskOn, id.job, id.index, worker.name);
     } else if (task.phase == TaskPhase::kRunning) {
       if (results_[id.job].insert(id.index).second) record(EventKind::kTaskDone, id.job, id.index);
-      end_task(worker, id, ExitWhy::kDone);
+      end_task(worker, id, ExitReason::kDone);
     }
   }
-  const bool due = present >= worker.next_report || (worker.changed && present - worker.last_sent >= 0.5);
-  if (!worker.in_flight && due) report(worker);
+  const bool due = present >= worker.next_heartbeat || (worker.changed && present - worker.last_sent >= 0.5);
+  if (!worker.in_flight && due) heartbeat(worker);
 }
 
-protocol::Report Site::report_of(Worker& worker) {
-  protocol::Report report;
-  report.machine = worker.name;
-  report.addr = worker.addr;
-  report.type = "big";
-  report.zone = "a";
-  report.session = worker.session;
-  report.seq = ++worker.count;
-  report.token = worker.token;
+protocol::Heartbeat Site::heartbeat_of(Worker& worker) {
+  protocol::Heartbeat heartbeat;
+  heartbeat.machine = worker.name;
+  heartbeat.addr = worker.addr;
+  heartbeat.type = "big";
+  heartbeat.zone = "a";
+  heartbeat.agent_epoch = worker.agent_epoch;
+  heartbeat.seq = ++worker.count;
+  heartbeat.fencing_token = worker.fencing_token;
   for (const auto& [id, task] : worker.tasks)
-    report.tasks.push_back({id, task.attempt, task.phase, task.why, false});
-  return report;
+    heartbeat.tasks.push_back({id, task.attempt, task.phase, task.exit_reason, false});
+  return heartbeat;
 }
 
-void Site::report(Worker& worker) {
+void Site::heartbeat(Worker& worker) {
   const double sent = now();
   worker.changed = false;
   worker.in_flight = true;
   worker.last_sent = sent;
-  worker.next_report = sent + options_.report_s;
-  const auto session = worker.session;
-  controllers_[worker.controller].reports->call(
-      {"POST", n::kPathReport, protocol::report_json(report_of(worker)), kReportTimeoutS, false},
-      [this, &worker, sent, session](int status, const std::string& answer) {
-        if (session != worker.session) return;
+  worker.next_heartbeat = sent + options_.heartbeat_interval_s;
+  const auto agent_epoch = worker.agent_epoch;
+  controllers_[worker.controller].heartbeats->call(
+      {"POST", n::kPathHeartbeat, protocol::heartbeat_json(heartbeat_of(worker)), kHeartbeatTimeoutS, false},
+      [this, &worker, sent, agent_epoch](int status, const std::string& answer) {
+        if (agent_epoch != worker.agent_epoch) return;
         worker.in_flight = false;
         if (status != 200) {
           worker.controller = (worker.controller + 1) % options_.controllers;
-          worker.next_report = now() + (status == 421 ? options_.report_s : 1);
+          worker.next_heartbeat = now() + (status == 421 ? options_.heartbeat_interval_s : 1);
           return;
         }
-        const auto list = protocol::parse_orders(answer);
-        if (!list || !list->token || *list->token < worker.token) return;
-        worker.changed = worker.changed || *list->token > worker.token;
-        worker.token = *list->token;
+        const auto list = protocol::parse_commands(answer);
+        if (!list || !list->fencing_token || *list->fencing_token < worker.fencing_token) return;
+        worker.changed = worker.changed || *list->fencing_token > worker.fencing_token;
+        worker.fencing_token = *list->fencing_token;
         worker.lease_from = sent;
-        take_orders(worker, list->orders);
+        execute_commands(worker, list->commands);
       });
 }
 
-void Site::take_orders(Worker& worker, const std::vector<Order>& orders) {
-  for (const auto& order : orders) {
-    const auto found = worker.tasks.find(order.task);
-    const bool same = found != worker.tasks.end() && found->second.attempt == order.attempt;
-    if (order.op == Order::Op::kStart)
-      launch(worker, order);
-    else if (same && order.op == Order::Op::kForget && found->second.phase == TaskPhase::kExited)
+void Site::execute_commands(Worker& worker, const std::vector<Command>& commands) {
+  for (const auto& command : commands) {
+    const auto found = worker.tasks.find(command.task);
+    const bool same = found != worker.tasks.end() && found->second.attempt == command.attempt;
+    if (command.op == Command::Op::kLaunch)
+      launch(worker, command);
+    else if (same && command.op == Command::Op::kClear && found->second.phase == TaskPhase::kExited)
       worker.tasks.erase(found);
-    else if (same && order.op == Order::Op::kStop && found->second.phase != TaskPhase::kExited)
-      end_task(worker, order.task, ExitWhy::kStopped);
+    else if (same && command.op == Command::Op::kStop && found->second.phase != TaskPhase::kExited)
+      end_task(worker, command.task, ExitReason::kStopped);
   }
 }
 
-void Site::launch(Worker& worker, const Order& order) {
-  const auto found = worker.tasks.find(order.task);
+void Site::launch(Worker& worker, const Command& command) {
+  const auto found = worker.tasks.find(command.task);
   if (found != worker.tasks.end() &&
-      (found->second.attempt == order.attempt || found->second.phase != TaskPhase::kExited))
+      (found->second.attempt == command.attempt || found->second.phase != TaskPhase::kExited))
     return;
   double used = 0;
   for (const auto& [id, task] : worker.tasks)
     if (task.phase != TaskPhase::kExited) used += specs_.at(id.job).cpus;
   Task task;
-  task.attempt = order.attempt;
+  task.attempt = command.attempt;
   task.ends_at = now() + kFetchS;
-  if (used + specs_.at(order.task.job).cpus > options_.worker_cpus) {
+  if (used + specs_.at(command.task.job).cpus > options_.worker_cpus) {
     task.phase = TaskPhase::kExited;
-    task.why = ExitWhy::kNoRoom;
+    task.exit_reason = ExitReason::kNoRoom;
   }
-  worker.tasks[order.task] = task;
+  worker.tasks[command.task] = task;
   worker.changed = true;
 }
 
--- a/tests/loopback/site.hpp
+++ b/tests/loopback/site.hpp
@@ -28,7 +28,7 @@
   double worker_cpus = 16;
   std::map<std::string, std::pair<double, double>> teams;  // guarantee and limit in cpus
   std::string switch_file;                                 // of quota leases; empty: off
-  double report_s = 0.5, lease_s = 8, cancel_s = 30;
+  double heartbeat_interval_s = 0.5, lease_s = 8, cancel_s = 30;
   double state_rps = 4000, state_write_rps = 2000;
 };
 
@@ -58,16 +58,16 @@
   struct Task {
     std::uint64_t attempt = 0;
     protocol::TaskPhase phase = protocol::TaskPhase::kFetching;
-    protocol::ExitWhy why = protocol::ExitWhy::kNone;
+    protocol::ExitReason exit_reason = protocol::ExitReason::kNone;
     double ends_at = 0;
   };
   struct Worker {
     std::string name, addr;
     std::unique_ptr<transport::HttpServer> server;
-    std::uint64_t session = 1, count = 0, token = 0;
+    std::uint64_t agent_epoch = 1, count = 0, fencing_token = 0;
     int controller = 0;
     bool changed = true, in_flight = false;
-    double lease_from = 0, last_sent = -10, next_report = 0;
+    double lease_from = 0, last_sent = -10, next_heartbeat = 0;
     std::map<protocol::TaskId, Task> tasks;
   };
   struct Watch {
@@ -79,7 +79,7 @@
     unsigned short port = 0, peer_port = 0;
     int process = 0;
     std::string settings_path;
-    std::shared_ptr<transport::HttpClient> users, reports;
+    std::shared_ptr<transport::HttpClient> users, heartbeats;
   };
 
   double now() const;
@@ -93,11 +93,11 @@
   std::pair<int, std::string> cloud_call(const std::string& method, const std::string& target);
   void answer_watches();
   void step(Worker& worker);
-  void report(Worker& worker);
-  protocol::Report report_of(Worker& worker);
-  void take_orders(Worker& worker, const std::vector<protocol::Order>& orders);
-  void launch(Worker& worker, const protocol::Order& order);
-  void end_task(Worker& worker, const protocol::TaskId& id, protocol::ExitWhy why);
+  void heartbeat(Worker& worker);
+  protocol::Heartbeat heartbeat_of(Worker& worker);
+  void execute_commands(Worker& worker, const std::vector<protocol::Command>& commands);
+  void launch(Worker& worker, const protocol::Command& order);
+  void end_task(Worker& worker, const protocol::TaskId& id, protocol::ExitReason exit_reason);
   void try_submit(int controller, const protocol::JobSpec& spec);
   void poll_some();
   void poll(std::uint64_t job);
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -123,50 +123,50 @@
   }
 }
 
-TEST(Report, RoundTripsAndRefusesNonsense) {
-  Report report;
-  report.machine = "host-000231";
-  report.addr = "10.1.0.232:9000";
-  report.type = "g8";
-  report.zone = "a";
-  report.session = 3;
-  report.seq = 88;
-  report.token = 41;
-  report.notice_s = 12.5;
-  report.tasks = {{{412, 3}, 2, TaskPhase::kRunning, ExitWhy::kNone, false},
-                  {{398, 0}, 1, TaskPhase::kExited, ExitWhy::kStopped, true}};
-  const auto back = parse_report(report_json(report));
+TEST(Heartbeat, RoundTripsAndRefusesNonsense) {
+  Heartbeat heartbeat;
+  heartbeat.machine = "host-000231";
+  heartbeat.addr = "10.1.0.232:9000";
+  heartbeat.type = "g8";
+  heartbeat.zone = "a";
+  heartbeat.agent_epoch = 3;
+  heartbeat.seq = 88;
+  heartbeat.fencing_token = 41;
+  heartbeat.interruption_notice_s = 12.5;
+  heartbeat.tasks = {{{412, 3}, 2, TaskPhase::kRunning, ExitReason::kNone, false},
+                     {{398, 0}, 1, TaskPhase::kExited, ExitReason::kStopped, true}};
+  const auto back = parse_heartbeat(heartbeat_json(heartbeat));
   ASSERT_TRUE(back);
-  EXPECT_EQ(report_json(*back), report_json(report));
+  EXPECT_EQ(heartbeat_json(*back), heartbeat_json(heartbeat));
   EXPECT_TRUE(back->tasks[1].saved);
   std::mt19937_64 random(3);
-  const std::string whole = report_json(report);
+  const std::string whole = heartbeat_json(heartbeat);
   for (int i = 0; i < 5000; ++i) {
     std::string bytes = whole;
     bytes[random() % bytes.size()] = static_cast<char>(random());
-    (void)parse_report(bytes);  // must not crash, whatever comes
+    (void)parse_heartbeat(bytes);  // must not crash, whatever comes
   }
-  EXPECT_FALSE(parse_report("{}"));
-  EXPECT_FALSE(parse_report("{\"host\":1}"));
+  EXPECT_FALSE(parse_heartbeat("{}"));
+  EXPECT_FALSE(parse_heartbeat("{\"host\":1}"));
 }
 
-TEST(Report, AnUnknownCauseIsAFailure) {
-  const auto report = parse_report(
+TEST(Heartbeat, AnUnknownCauseIsAFailure) {
+  const auto heartbeat = parse_heartbeat(
       R"({"host":"h","addr":"1.1.1.1:1","build":"g","yard":"a","loaners":false,"shift":1,"tally":1,"baton":0,)"
       R"("pieces":[{"piece":"j-000001/0","try":1,"stage":"ended","cause":"gremlins"}]})");
-  ASSERT_TRUE(report);
-  EXPECT_EQ(report->tasks[0].why, ExitWhy::kError);
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->tasks[0].exit_reason, ExitReason::kError);
 }
 
 TEST(Orders, RoundTrip) {
-  const std::vector<Order> orders{{Order::Op::kStart, {412, 4}, 2, 0},
-                                  {Order::Op::kStop, {377, 1}, 1, 10},
-                                  {Order::Op::kForget, {398, 0}, 1, 0}};
-  const auto back = parse_orders(orders_json(41, orders, 7));
+  const std::vector<Command> commands{{Command::Op::kLaunch, {412, 4}, 2, 0},
+                                      {Command::Op::kStop, {377, 1}, 1, 10},
+                                      {Command::Op::kClear, {398, 0}, 1, 0}};
+  const auto back = parse_commands(commands_json(41, commands, 7));
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->token, 41u);
-  EXPECT_EQ(back->session, 7u);
-  EXPECT_EQ(orders_json(41, back->orders, 7), orders_json(41, orders, 7));
+  EXPECT_EQ(back->fencing_token, 41u);
+  EXPECT_EQ(back->agent_epoch, 7u);
+  EXPECT_EQ(commands_json(41, back->commands, 7), commands_json(41, commands, 7));
 }
 
 TEST(Ledger, CompletionsRoundTripWithinTheLimit) {
--- a/tests/outbox_digest.cpp
+++ b/tests/outbox_digest.cpp
@@ -12,14 +12,15 @@
   for (const auto& reply : outbox.replies) {
     if (reply.text) continue;
     std::ostringstream line;
-    line << prefix.str() << "reply " << reply.token << ' ' << reply.status << ' ' << reply.retry_after_s << ' '
-         << reply.body;
+    line << prefix.str() << "reply " << reply.token << ' ' << reply.status << ' ' << reply.retry_after_s
+         << ' ' << reply.body;
     add_line(line.str());
   }
   for (const auto& call : outbox.calls) {
     std::ostringstream line;
-    line << prefix.str() << "call " << static_cast<int>(call.service) << ' ' << call.addr << ' ' << call.method
-         << ' ' << call.target << ' ' << call.timeout_s << ' ' << call.watch << ' ' << call.body;
+    line << prefix.str() << "call " << static_cast<int>(call.service) << ' ' << call.addr << ' '
+         << call.method << ' ' << call.target << ' ' << call.timeout_s << ' ' << call.watch << ' '
+         << call.body;
     add_line(line.str());
   }
   for (const auto& send : outbox.sends) add_line(prefix.str() + "frame " + send.member + ' ' + send.frame);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -136,7 +136,7 @@
   void setup(const Line& line) {
     const std::string what = line.plain[0];
     if (what == "site") {
-      options_.report_s = number(line, "report", options_.report_s);
+      options_.heartbeat_interval_s = number(line, "report", options_.heartbeat_interval_s);
       options_.lease_s = number(line, "lease", options_.lease_s);
       options_.fetch_s = number(line, "fetch", options_.fetch_s);
       options_.cancel_s = number(line, "cancel", options_.cancel_s);
@@ -290,15 +290,15 @@
       else if (what == "notice")
         world.notice(target, for_s);
       else if (what == "late_report")
-        world.late_report(target, number(line, "by", 5));
+        world.late_heartbeat(target, number(line, "by", 5));
       else if (what == "lose_answers" || what == "deaf")
         world.lose_answers(target, for_s);
       else if (what == "mute")
         world.mute(target, for_s);
       else if (what == "hold_report")
-        world.hold_report(target);
+        world.hold_heartbeat(target);
       else if (what == "copy_report")
-        world.copy_report(target, number(line, "by", 5));
+        world.copy_heartbeat(target, number(line, "by", 5));
       else if (what == "late_command")
         world.late_command(target, number(line, "by", 5));
       else if (what == "repeat_command")
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -18,7 +18,7 @@
   judge.set_limits(limits, options_.cancel_s);
   settings_.zones = options_.zones;
   settings_.count = options_.controllers;
-  settings_.report_s = options_.report_s;
+  settings_.heartbeat_interval_s = options_.heartbeat_interval_s;
   settings_.lease_s = options_.lease_s;
   settings_.gang_wait_s = options_.gang_wait_s;
   settings_.gang_peer_s = options_.gang_peer_s;
@@ -269,15 +269,15 @@
         const auto deliver = [this, i, name, call, answered, finish] {
           auto& w = workers_.at(name);
           if (!w.up || w.dead || w.gone) return;
-          const auto list = protocol::parse_orders(call.body);
-          if (!list || !list->token || !list->session) return;
-          const bool good = *list->token >= w.token && *list->session == w.session;
+          const auto list = protocol::parse_commands(call.body);
+          if (!list || !list->fencing_token || !list->agent_epoch) return;
+          const bool good = *list->fencing_token >= w.fencing_token && *list->agent_epoch == w.agent_epoch;
           if (good) {
-            if (*list->token > w.token) w.changed = true;
-            w.token = *list->token;
-            take_orders(w, list->orders);
+            if (*list->fencing_token > w.fencing_token) w.changed = true;
+            w.fencing_token = *list->fencing_token;
+            execute_commands(w, list->commands);
           }
-          const auto body = protocol::report_json(report_of(w));
+          const auto body = protocol::heartbeat_json(heartbeat_of(w));
           carry("workers-" + w.zone, nodes_[i].name, [=] {
             if (!std::exchange(*answered, true)) finish(call.id, good ? 200 : 409, body);
           });
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "coordination/controller.hpp"
-#include "quota/lease_options.hpp"
 #include "outbox_digest.hpp"
+#include "quota/lease_options.hpp"
 #include "state_store.hpp"
 
 namespace robinford::testing_world {
@@ -104,8 +104,8 @@
 };
 
 struct Options {
-  double report_s = 1, lease_s = 10, gang_wait_s = 20, gang_peer_s = 4, cancel_s = 30, list_lag_s = 3,
-         fetch_s = 0.5;
+  double heartbeat_interval_s = 1, lease_s = 10, gang_wait_s = 20, gang_peer_s = 4, cancel_s = 30,
+         list_lag_s = 3, fetch_s = 0.5;
   int controllers = 3;
   std::uint64_t seed = 1;
   std::vector<std::string> zones{"a"};
@@ -152,10 +152,11 @@
   void late_txn(double by_s) {
     late_txn_by_ = by_s;
   }  // the next transaction is unanswered and carried out late
-  void late_report(const std::string& machine, double by_s);  // its next report reaches the controllers late
-  // Its next report arrives in time, and a copy of it late, at whichever controller leads then.
-  void copy_report(const std::string& machine, double by_s);
-  void reborn(const std::string& machine);  // back at once: session 1, nothing on it, no token seen
+  void late_heartbeat(const std::string& machine,
+                      double by_s);  // its next heartbeat reaches the controllers late
+  // Its next heartbeat arrives in time, and a copy of it late, at whichever controller leads then.
+  void copy_heartbeat(const std::string& machine, double by_s);
+  void reborn(const std::string& machine);  // back at once: agent_epoch 1, nothing on it, no token seen
   // Its next direct command is carried out late and never answered, or carried out, answered and carried out
   // again.
   void late_command(const std::string& machine, double by_s);
@@ -168,7 +169,7 @@
   void lose_answers(const std::string& machine, double for_s);
   // The controller stands still while its clocks run on; all that reached it is worked through afterwards.
   void freeze(int node, double for_s);
-  // Its reports reach no controller; direct commands get there.
+  // Its heartbeats reach no controller; direct commands get there.
   void mute(const std::string& machine, double for_s);
   // Users call off so many running jobs at once; up to eight of their machines hang, if so told.
   void cancel_running(int count, double hang_s);
@@ -187,8 +188,8 @@
   void boots_fail(int count) { failing_boots_ = count; }
   // Watches of the state service are not answered.
   void lose_watches(double for_s) { watches_lost_until_ = now_ + for_s; }
-  // The next report of the machine is held until another controller leads, and then arrives there.
-  void hold_report(const std::string& machine) { workers_.at(machine).hold_report = true; }
+  // The next heartbeat of the machine is held until another controller leads, and then arrives there.
+  void hold_heartbeat(const std::string& machine) { workers_.at(machine).hold_heartbeat = true; }
   // What passes between any two places takes up to so much longer.
   void slow_links(double by_s, double for_s) { link_by_ = by_s, link_until_ = now_ + for_s; }
   // Users repeat submissions, cancel jobs that are done, ask for unknown ids, and send what can't run.
@@ -196,7 +197,7 @@
   // For some time each message of these kinds is delivered once more, so much later.
   struct Repeats {
     double by = 0, until = -1;
-    std::set<std::string> kinds;  // txn, cloud, command, user, frame, report
+    std::set<std::string> kinds;  // txn, cloud, command, user, frame, heartbeat
   };
   void repeat(Repeats repeats) { repeats_ = std::move(repeats); }
   void sabotage(const std::string& how) { sabotage_ = how; }
@@ -233,7 +234,7 @@
   struct Task {
     std::uint64_t attempt = 0;
     protocol::TaskPhase phase = protocol::TaskPhase::kFetching;
-    protocol::ExitWhy why = protocol::ExitWhy::kNone;
+    protocol::ExitReason exit_reason = protocol::ExitReason::kNone;
     bool saved = false;
     double ready_at = 0, started_at = 0, ends_at = 0, waits_until = 0, save_until = 0, lost_mate_at = 0;
   };
@@ -242,9 +243,9 @@
     bool spot = false, up = false, dead = false, gone = false;
     double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, rented_at = 0, deaf_until = -1,
            mute_until = -1;
-    bool hold_report = false;
-    std::uint64_t session = 1, seq = 0, token = 0;
-    double lease_from = 0, last_sent = -10, next_report = 0;
+    bool hold_heartbeat = false;
+    std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
+    double lease_from = 0, last_sent = -10, next_heartbeat = 0;
     bool changed = false, in_flight = false;
     std::uint64_t flight = 0;
     int node = 0;
@@ -292,10 +293,10 @@
                                          const std::string& body);
   // workers
   void worker_step(Worker& worker);
-  void send_report(Worker& worker);
-  void take_orders(Worker& worker, const std::vector<protocol::Order>& orders);
-  protocol::Report report_of(Worker& worker);
-  void exit_task(Worker& worker, const protocol::TaskId& id, protocol::ExitWhy why, bool saved);
+  void send_heartbeat(Worker& worker);
+  void execute_commands(Worker& worker, const std::vector<protocol::Command>& commands);
+  protocol::Heartbeat heartbeat_of(Worker& worker);
+  void exit_task(Worker& worker, const protocol::TaskId& id, protocol::ExitReason exit_reason, bool saved);
   void drop_task(Worker& worker, const protocol::TaskId& id);
   void clear_worker(Worker& worker);
   bool gang_present(const protocol::TaskId& id, std::uint64_t attempt, int& ready) const;
--- a/tests/world_troubles.cpp
+++ b/tests/world_troubles.cpp
@@ -16,8 +16,8 @@
   workers_.at(machine).deaf_until = now_ + for_s;
 }
 
-void World::late_report(const std::string& machine, double by_s) { workers_.at(machine).late_by = by_s; }
-void World::copy_report(const std::string& machine, double by_s) { workers_.at(machine).copy_by = by_s; }
+void World::late_heartbeat(const std::string& machine, double by_s) { workers_.at(machine).late_by = by_s; }
+void World::copy_heartbeat(const std::string& machine, double by_s) { workers_.at(machine).copy_by = by_s; }
 void World::late_command(const std::string& machine, double by_s) {
   workers_.at(machine).late_command_by = by_s;
 }
@@ -122,9 +122,9 @@
     return after(kTick,
                  [this, name, body, was_leader, until] { deliver_held(name, body, was_leader, until); });
   if (now_leads < 0) return;
-  // After the new one has acted on the machine's own reports.
+  // After the new one has acted on the machine's own heartbeats.
   after(2, [this, name, body, now_leads] {
-    request(now_leads, "workers-" + workers_.at(name).zone, "POST", n::kPathReport, body,
+    request(now_leads, "workers-" + workers_.at(name).zone, "POST", n::kPathHeartbeat, body,
             [](int, const std::string&) {});
   });
 }
@@ -132,11 +132,11 @@
 void World::reborn(const std::string& machine) {
   auto& worker = workers_.at(machine);
   clear_worker(worker);
-  worker.session = 1;
-  worker.seq = worker.token = 0;
+  worker.agent_epoch = 1;
+  worker.seq = worker.fencing_token = 0;
   worker.lease_from = now_;
   worker.in_flight = false;
-  worker.next_report = now_;
+  worker.next_heartbeat = now_;
 }
 
 void World::apart(int node, double for_s, bool reset) {
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -10,8 +10,8 @@
 
 namespace robinford::testing_world {
 namespace n = names;
-using protocol::ExitWhy;
-using protocol::Order;
+using protocol::Command;
+using protocol::ExitReason;
 using protocol::TaskId;
 using protocol::TaskPhase;
 
@@ -25,11 +25,11 @@
   worker.tasks.clear();
 }
 
-void World::exit_task(Worker& worker, const TaskId& id, ExitWhy why, bool saved) {
+void World::exit_task(Worker& worker, const TaskId& id, ExitReason exit_reason, bool saved) {
   auto& task = worker.tasks.at(id);
   if (task.phase == TaskPhase::kExited) return;
   task.phase = TaskPhase::kExited;
-  task.why = why;
+  task.exit_reason = exit_reason;
   task.saved = saved;
   drop_task(worker, id);
 }
@@ -60,7 +60,7 @@
   }
   if (now_ - worker.lease_from > options_.lease_s && sabotage_ != "never_stops") {
     clear_worker(worker);
-    ++worker.session;
+    ++worker.agent_epoch;
     worker.seq = 0;
     worker.lease_from = now_;
     worker.changed = true;
@@ -77,14 +77,14 @@
         if (now_ < task.ready_at) break;
         if (now_ < worker.sick_until) {
           task.phase = TaskPhase::kExited;
-          task.why = ExitWhy::kError;
+          task.exit_reason = ExitReason::kError;
           worker.changed = true;
           break;
         }
         judge.on_machine(now_, id, {worker.name, worker.type, worker.zone, worker.spot});
         worker.changed = true;
         if (results_[id.job].contains(id.index)) {
-          exit_task(worker, id, ExitWhy::kDone, false);
+          exit_task(worker, id, ExitReason::kDone, false);
           break;
         }
         task.phase = spec.gang ? TaskPhase::kWaiting : TaskPhase::kRunning;
@@ -110,7 +110,7 @@
                 other.changed = true;
               }
         } else if (now_ > task.waits_until) {
-          exit_task(worker, id, ExitWhy::kAlone, false);
+          exit_task(worker, id, ExitReason::kAlone, false);
         }
         break;
       case TaskPhase::kRunning: {
@@ -122,7 +122,8 @@
             progress_[id.job] =
                 std::max(progress_[id.job], std::floor(reached / spec.checkpoint_s) * spec.checkpoint_s);
           }
-          if (now_ - task.lost_mate_at > options_.gang_peer_s) exit_task(worker, id, ExitWhy::kPeers, false);
+          if (now_ - task.lost_mate_at > options_.gang_peer_s)
+            exit_task(worker, id, ExitReason::kPeers, false);
           break;
         }
         task.lost_mate_at = 0;
@@ -130,7 +131,7 @@
         if (!spec.gang) {
           results_[id.job].insert(id.index);
           judge.task_done(now_, id);
-          exit_task(worker, id, ExitWhy::kDone, false);
+          exit_task(worker, id, ExitReason::kDone, false);
           job_ended(id.job);
           break;
         }
@@ -141,7 +142,7 @@
           for (const auto& mate : mates) {
             results_[id.job].insert(mate.index);
             judge.task_done(now_, mate);
-            exit_task(other, mate, ExitWhy::kDone, false);
+            exit_task(other, mate, ExitReason::kDone, false);
           }
         }
         job_ended(id.job);
@@ -150,7 +151,7 @@
       case TaskPhase::kSaving:
         if (now_ < task.save_until) break;
         progress_[id.job] = std::max(progress_[id.job], task.save_until - spec.save_s - task.started_at);
-        exit_task(worker, id, ExitWhy::kStopped, true);
+        exit_task(worker, id, ExitReason::kStopped, true);
         break;
       case TaskPhase::kExited:
         break;
@@ -159,71 +160,72 @@
   if (worker.in_flight && now_ - worker.last_sent > 4) {
     worker.in_flight = false;
     worker.node = (worker.node + 1) % options_.controllers;
-    worker.next_report = now_ + 1;
+    worker.next_heartbeat = now_ + 1;
   }
   if (!worker.in_flight && now_ - worker.last_sent >= 0.5 &&
-      (now_ >= worker.next_report || (worker.changed && now_ >= worker.next_report - options_.report_s)))
-    send_report(worker);
+      (now_ >= worker.next_heartbeat ||
+       (worker.changed && now_ >= worker.next_heartbeat - options_.heartbeat_interval_s)))
+    send_heartbeat(worker);
 }
 
-protocol::Report World::report_of(Worker& worker) {
-  protocol::Report report;
-  report.machine = worker.name;
-  report.addr = worker.addr;
-  report.type = worker.type;
-  report.zone = worker.zone;
-  report.spot = worker.spot;
-  report.session = worker.session;
-  report.seq = ++worker.seq;
-  report.token = worker.token;
-  if (worker.taken_at > now_) report.notice_s = worker.taken_at - now_;
+protocol::Heartbeat World::heartbeat_of(Worker& worker) {
+  protocol::Heartbeat heartbeat;
+  heartbeat.machine = worker.name;
+  heartbeat.addr = worker.addr;
+  heartbeat.type = worker.type;
+  heartbeat.zone = worker.zone;
+  heartbeat.spot = worker.spot;
+  heartbeat.agent_epoch = worker.agent_epoch;
+  heartbeat.seq = ++worker.seq;
+  heartbeat.fencing_token = worker.fencing_token;
+  if (worker.taken_at > now_) heartbeat.interruption_notice_s = worker.taken_at - now_;
   for (const auto& [id, task] : worker.tasks)
-    report.tasks.push_back({id, task.attempt, task.phase, task.why, task.saved});
-  return report;
+    heartbeat.tasks.push_back({id, task.attempt, task.phase, task.exit_reason, task.saved});
+  return heartbeat;
 }
 
-void World::send_report(Worker& worker) {
-  const auto report = report_of(worker);
+void World::send_heartbeat(Worker& worker) {
+  const auto heartbeat = heartbeat_of(worker);
   worker.changed = false;
   worker.in_flight = true;
   worker.last_sent = now_;
-  worker.next_report =
-      now_ + options_.report_s * (0.75 + 0.5 * std::uniform_real_distribution<double>(0, 1)(random_));
+  worker.next_heartbeat = now_ + options_.heartbeat_interval_s *
+                                     (0.75 + 0.5 * std::uniform_real_distribution<double>(0, 1)(random_));
   const auto flight = ++worker.flight;
   const double sent = now_;
   const std::string name = worker.name;
-  const auto send = [this, name, flight, sent, body = protocol::report_json(report), node = worker.node,
-                     session = worker.session] {
-    request(node, "workers-" + workers_.at(name).zone, "POST", n::kPathReport, body,
+  const auto send = [this, name, flight, sent, body = protocol::heartbeat_json(heartbeat), node = worker.node,
+                     agent_epoch = worker.agent_epoch] {
+    request(node, "workers-" + workers_.at(name).zone, "POST", n::kPathHeartbeat, body,
             [=, this](int status, const std::string& answer) {
               auto& w = workers_.at(name);
               if (w.gone || w.dead || flight != w.flight || !w.in_flight || now_ - sent > 4 ||
-                  now_ < w.hung_until || session != w.session)
+                  now_ < w.hung_until || agent_epoch != w.agent_epoch)
                 return;
               if (now_ < w.deaf_until) return;  // the answer is lost
               w.in_flight = false;
               if (status != 200) {
                 w.node = (w.node + 1) % options_.controllers;
-                w.next_report = now_ + 1;
+                w.next_heartbeat = now_ + 1;
                 w.changed = false;
                 return;
               }
-              const auto list = protocol::parse_orders(answer);
-              if (!list || !list->token || *list->token < w.token) return;
-              if (*list->token > w.token) w.changed = true;
-              w.token = *list->token;
+              const auto list = protocol::parse_commands(answer);
+              if (!list || !list->fencing_token || *list->fencing_token < w.fencing_token) return;
+              if (*list->fencing_token > w.fencing_token) w.changed = true;
+              w.fencing_token = *list->fencing_token;
               w.lease_from = sent;
-              take_orders(w, list->orders);
+              execute_commands(w, list->commands);
             });
   };
   if (now_ < worker.mute_until) return;  // no connection to any controller
-  if (std::exchange(worker.hold_report, false))
-    return deliver_held(name, protocol::report_json(report), leader(), now_ + 120);
+  if (std::exchange(worker.hold_heartbeat, false))
+    return deliver_held(name, protocol::heartbeat_json(heartbeat), leader(), now_ + 120);
   if (worker.copy_by > 0 || repeats("report")) {
     const double by = worker.copy_by > 0 ? std::exchange(worker.copy_by, 0) : repeats_.by;
-    after(by, [this, name, body = protocol::report_json(report)] {
+    after(by, [this, name, body = protocol::heartbeat_json(heartbeat)] {
       for (int i = 0; i < options_.controllers; ++i)
-        request(i, "workers-" + workers_.at(name).zone, "POST", n::kPathReport, body,
+        request(i, "workers-" + workers_.at(name).zone, "POST", n::kPathHeartbeat, body,
                 [](int, const std::string&) {});
     });
   }
@@ -233,72 +235,73 @@
     send();
 }
 
-void World::take_orders(Worker& worker, const std::vector<Order>& orders) {
-  for (const auto& order : orders) {
-    auto found = worker.tasks.find(order.task);
-    if (order.op == Order::Op::kForget) {
-      if (found != worker.tasks.end() && found->second.attempt == order.attempt &&
+void World::execute_commands(Worker& worker, const std::vector<Command>& commands) {
+  for (const auto& command : commands) {
+    auto found = worker.tasks.find(command.task);
+    if (command.op == Command::Op::kClear) {
+      if (found != worker.tasks.end() && found->second.attempt == command.attempt &&
           found->second.phase == TaskPhase::kExited)
         worker.tasks.erase(found);
       continue;
     }
-    if (order.op == Order::Op::kStart) {
+    if (command.op == Command::Op::kLaunch) {
       if (sabotage_ == "starves") continue;
-      if (found != worker.tasks.end() && found->second.attempt == order.attempt) continue;
+      if (found != worker.tasks.end() && found->second.attempt == command.attempt) continue;
       Task task;
-      task.attempt = order.attempt;
+      task.attempt = command.attempt;
       task.ready_at = now_ + options_.fetch_s;
       worker.changed = true;
       const bool busy = found != worker.tasks.end() && found->second.phase != TaskPhase::kExited;
       if (busy) continue;
-      if (!described_.contains(order.task.job)) {
+      if (!described_.contains(command.task.job)) {
         task.phase = TaskPhase::kExited;
-        task.why = ExitWhy::kUnknown;
+        task.exit_reason = ExitReason::kUnknown;
       }
       double used = 0, have = 0;
       for (const auto& [id, other] : worker.tasks)
         if (other.phase != TaskPhase::kExited) used += described_.at(id.job).cpus;
       for (const auto& type : options_.types)
         if (type.name == worker.type) have = type.cpus;
-      if (task.why == ExitWhy::kNone && used + described_.at(order.task.job).cpus > have + 1e-6) {
+      if (task.exit_reason == ExitReason::kNone &&
+          used + described_.at(command.task.job).cpus > have + 1e-6) {
         task.phase = TaskPhase::kExited;
-        task.why = ExitWhy::kNoRoom;
+        task.exit_reason = ExitReason::kNoRoom;
       }
-      worker.tasks[order.task] = task;
-      if (task.why == ExitWhy::kNone) {
-        judge.launched(now_, order.task);
-        for (const auto id : described_.at(order.task.job).dependencies)
+      worker.tasks[command.task] = task;
+      if (task.exit_reason == ExitReason::kNone) {
+        judge.launched(now_, command.task);
+        for (const auto id : described_.at(command.task.job).dependencies)
           if (!store_.contains(bookkeeping::JobLedger::final_key(id)))
-            judge.breach("too_early", now_, protocol::task_text(order.task) + ": an end is not durable");
+            judge.breach("too_early", now_, protocol::task_text(command.task) + ": an end is not durable");
       }
       // As if whatever waits for this job were launched with it.
       if (sabotage_ == "too_early")
         for (const auto& [id, spec] : described_)
-          if (std::count(spec.dependencies.begin(), spec.dependencies.end(), order.task.job) > 0)
+          if (std::count(spec.dependencies.begin(), spec.dependencies.end(), command.task.job) > 0)
             judge.launched(now_, {id, 0});
       if (sabotage_ == "starts_twice") {
         // As if a scheduler launched the same task elsewhere too.
         for (auto& [name, other] : workers_)
-          if (name != worker.name && other.up && !other.tasks.contains(order.task)) {
-            other.tasks[order.task] = task;
-            other.tasks[order.task].ready_at = now_;  // before the scheduler sees and stops it
-            worker.tasks[order.task].ready_at = now_;
+          if (name != worker.name && other.up && !other.tasks.contains(command.task)) {
+            other.tasks[command.task] = task;
+            other.tasks[command.task].ready_at = now_;  // before the scheduler sees and stops it
+            worker.tasks[command.task].ready_at = now_;
             break;
           }
       }
       continue;
     }
-    if (sabotage_ == "never_stops" || found == worker.tasks.end() || found->second.attempt != order.attempt)
+    if (sabotage_ == "never_stops" || found == worker.tasks.end() || found->second.attempt != command.attempt)
       continue;
     auto& task = found->second;
-    const auto& spec = described_.at(order.task.job);
+    const auto& spec = described_.at(command.task.job);
     if (task.phase == TaskPhase::kExited) continue;
-    if (task.phase == TaskPhase::kRunning && spec.checkpoint_s > 0 && order.grace_s >= spec.save_s) {
+    if (task.phase == TaskPhase::kRunning && spec.checkpoint_s > 0 && command.grace_s >= spec.save_s) {
       task.phase = TaskPhase::kSaving;
       task.save_until = now_ + spec.save_s;
       worker.changed = true;
-    } else if (task.phase != TaskPhase::kSaving || order.grace_s == 0) {
-      exit_task(worker, order.task, ExitWhy::kStopped, false);
+    } else if (task.phase != TaskPhase::kSaving || command.grace_s == 0) {
+      exit_task(worker, command.task, ExitReason::kStopped, false);
     }
   }
 }
