--- a/src/bookkeeping/dependency_graph.cpp
+++ b/src/bookkeeping/dependency_graph.cpp
@@ -31,7 +31,7 @@
 }
 
 DependencyGraph::Outcome DependencyGraph::finished(JobId id, FinalState state) {
-  if (state == FinalState::kWithdrawn) return cancel_dependents(id);
+  if (state == FinalState::kCancelled) return cancel_dependents(id);
   Outcome outcome;
   const auto found = dependents_.find(id);
   if (found == dependents_.end()) return outcome;
--- a/src/bookkeeping/job_ledger.cpp
+++ b/src/bookkeeping/job_ledger.cpp
@@ -15,7 +15,7 @@
 constexpr char kSubmittedField[] = "at";
 constexpr char kDoneField[] = "done";
 constexpr char kFinalField[] = "over";
-constexpr char kWithdrawnField[] = "off";  // wall ms of the withdrawal
+constexpr char kCancelledField[] = "off";  // wall ms of the withdrawal
 constexpr char kReadyField[] = "ready";    // wall ms of the end of the last dependency
 constexpr char kDoneBitsField[] =
     "bits";  // completions as hexadecimal digits, task 0 in the lowest bit of the first
@@ -23,7 +23,7 @@
 // version that knows no dependencies keeps the job pending, and keeps the zone when it rewrites the record.
 constexpr char kWaitingZonePrefix[] = "waiting:";
 constexpr char kFinalDone[] = "d";
-constexpr char kFinalWithdrawn[] = "w";
+constexpr char kFinalCancelled[] = "w";
 }  // namespace
 
 const char* to_text(FinalState state) {
@@ -52,7 +52,7 @@
       return "active";
     case JobState::kCompleting:
       return "completing";
-    case JobState::kWithdrawing:
+    case JobState::kCancelling:
       return "withdrawing";
     case JobState::kOver:
       return "over";
@@ -118,11 +118,11 @@
   return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-Job& JobLedger::add(JobSpec spec, std::uint64_t stamp, std::int64_t submitted_ms, double now) {
+Job& JobLedger::add(JobSpec spec, std::uint64_t mod_revision, std::int64_t submitted_ms, double now) {
   auto job = std::make_unique<Job>();
   job->done.resize(spec.tasks);
   job->spec = std::move(spec);
-  job->stamp = stamp;
+  job->mod_revision = mod_revision;
   job->submitted_ms = submitted_ms;
   job->known_at = now;
   if (!job->spec.dependencies.empty()) {
@@ -285,17 +285,18 @@
   job.state = JobState::kWaiting;
 }
 
-json::object JobLedger::withdrawn_record(json::object live, std::int64_t at_ms) {
-  live[kWithdrawnField] = at_ms;
-  live[kFinalField] = kFinalWithdrawn;
+json::object JobLedger::cancelled_record(json::object live, std::int64_t at_ms) {
+  live[kCancelledField] = at_ms;
+  live[kFinalField] = kFinalCancelled;
   return live;
 }
 
-bool JobLedger::is_withdrawn(const json::value& live) {
+bool JobLedger::is_cancelled(const json::value& live) {
   return live.is_object() && live.get_object().contains(kFinalField);
 }
 
-std::unique_ptr<Job> JobLedger::from_record(const json::value& value, std::uint64_t stamp, double now) {
+std::unique_ptr<Job> JobLedger::from_record(const json::value& value, std::uint64_t mod_revision,
+                                            double now) {
   if (!value.is_object()) return nullptr;
   const auto& object = value.get_object();
   const auto* spec = object.if_contains(kSpecField);
@@ -305,7 +306,7 @@
   auto job = std::make_unique<Job>();
   job->done.resize(parsed.spec->tasks);
   job->spec = std::move(*parsed.spec);
-  job->stamp = stamp;
+  job->mod_revision = mod_revision;
   job->known_at = now;
   json::error_code error;
   job->submitted_ms = time_field(object, kSubmittedField);
@@ -314,19 +315,19 @@
   read_done_ranges(*job, text_field(object, kDoneField));
   read_done_bits(*job, text_field(object, kDoneBitsField));
   job->durable_version = job->done_version;
-  if (is_withdrawn(value)) {
+  if (is_cancelled(value)) {
     job->state = JobState::kOver;
-    job->final_state = FinalState::kWithdrawn;
+    job->final_state = FinalState::kCancelled;
     job->marked = true;
-    if (const auto* at = object.if_contains(kWithdrawnField))
-      job->withdrawn_ms = at->to_number<std::int64_t>(error);
+    if (const auto* at = object.if_contains(kCancelledField))
+      job->cancelled_ms = at->to_number<std::int64_t>(error);
   }
   return job;
 }
 
 json::object JobLedger::final_record(FinalState state) {
   json::object object;
-  object[kFinalField] = state == FinalState::kDone ? kFinalDone : kFinalWithdrawn;
+  object[kFinalField] = state == FinalState::kDone ? kFinalDone : kFinalCancelled;
   return object;
 }
 
@@ -335,7 +336,7 @@
   const auto* over = value.get_object().if_contains(kFinalField);
   if (over == nullptr || !over->is_string()) return std::nullopt;
   if (over->get_string() == kFinalDone) return FinalState::kDone;
-  if (over->get_string() == kFinalWithdrawn) return FinalState::kWithdrawn;
+  if (over->get_string() == kFinalCancelled) return FinalState::kCancelled;
   return std::nullopt;
 }
 
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -23,9 +23,9 @@
 
 inline constexpr char kLiveJobPrefix[] = "j/";
 inline constexpr char kFinalJobPrefix[] = "f/";
-inline constexpr char kNoticeWithdrawn[] = "withdrawn";  // field of a notice: the job it names is withdrawn
+inline constexpr char kEntryCancelled[] = "withdrawn";  // field of a notice: the job it names is cancelled
 
-enum class FinalState : std::uint8_t { kDone, kWithdrawn };
+enum class FinalState : std::uint8_t { kDone, kCancelled };
 const char* to_text(FinalState state);
 
 // A task that is, or may be, on a machine.
@@ -33,7 +33,7 @@
   kPlanned,   // chosen for the machine; its launch waits for the durable note or for the answer to carry it
   kLaunched,  // the launch was sent and no heartbeat has shown the outcome yet
   kPresent,   // a heartbeat showed it
-  kStopping,  // told to stop, not gone yet
+  kStopping,  // announced to stop, not gone yet
 };
 const char* to_text(RunState state);
 
@@ -58,11 +58,11 @@
 };
 
 enum class JobState : std::uint8_t {
-  kWaiting,      // accepted, and some job that it depends on is not known to be done
-  kActive,       // accepted, not over
-  kCompleting,   // all tasks done, the final record is being written
-  kWithdrawing,  // its user asked to cancel, the final record is being written
-  kOver,         // final record durable; stays here until nothing of it is on any machine
+  kWaiting,     // accepted, and some job that it depends on is not known to be done
+  kActive,      // accepted, not over
+  kCompleting,  // all tasks done, the final record is being written
+  kCancelling,  // its user asked to cancel, the final record is being written
+  kOver,        // final record durable; stays here until nothing of it is on any machine
 };
 const char* to_text(JobState state);
 
@@ -77,9 +77,9 @@
 
 struct Job {
   JobSpec spec;
-  std::uint64_t stamp = 0;        // of its durable record
-  std::int64_t submitted_ms = 0;  // time of day
-  double known_at = 0;            // steady, when this leader first saw it
+  std::uint64_t mod_revision = 0;  // of its durable record
+  std::int64_t submitted_ms = 0;   // time of day
+  double known_at = 0;             // steady, when this leader first saw it
   JobState state = JobState::kActive;
   FinalState final_state = FinalState::kDone;
 
@@ -91,8 +91,8 @@
   Priority inherited_priority = Priority::kLow;
   double inherited_due_ms = std::numeric_limits<double>::infinity();
   bool before = false;            // read from the ledger: an earlier leader may have placed tasks of it
-  std::int64_t withdrawn_ms = 0;  // time of day of its withdrawal, by whoever wrote it
-  bool marked = false;            // withdrawn, and its live record says so until nothing of it is left
+  std::int64_t cancelled_ms = 0;  // time of day of its withdrawal, by whoever wrote it
+  bool marked = false;            // cancelled, and its live record says so until nothing of it is left
 
   std::vector<bool> done;
   std::uint32_t done_count = 0;
@@ -143,7 +143,7 @@
  public:
   void clear();
   Job* find(JobId id);
-  Job& add(JobSpec spec, std::uint64_t stamp, std::int64_t submitted_ms, double now);
+  Job& add(JobSpec spec, std::uint64_t mod_revision, std::int64_t submitted_ms, double now);
   void erase(JobId id);
   std::map<JobId, std::unique_ptr<Job>>& all() { return jobs_; }
 
@@ -152,11 +152,12 @@
 
   // Records. A record that would not fit the limit holds as many completions as do; `whole` tells.
   static boost::json::object record(const Job& job, std::size_t limit, bool& whole);
-  // The live record of a withdrawn job keeps its description until nothing of it can be on any machine: a new
+  // The live record of a cancelled job keeps its description until nothing of it can be on any machine: a new
   // leader has to know what may still run.
-  static boost::json::object withdrawn_record(boost::json::object live, std::int64_t at_ms);
-  static bool is_withdrawn(const boost::json::value& live);
-  static std::unique_ptr<Job> from_record(const boost::json::value& value, std::uint64_t stamp, double now);
+  static boost::json::object cancelled_record(boost::json::object live, std::int64_t at_ms);
+  static bool is_cancelled(const boost::json::value& live);
+  static std::unique_ptr<Job> from_record(const boost::json::value& value, std::uint64_t mod_revision,
+                                          double now);
   static boost::json::object final_record(FinalState state);
   static std::optional<FinalState> final_from_record(const boost::json::value& value);
   static std::string live_key(JobId id) { return kLiveJobPrefix + protocol::job_id_text(id); }
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -102,7 +102,7 @@
 
 // Machines stand in durable records in groups, so that one change covers a whole rental.
 struct MachineGroup {
-  std::uint64_t stamp = 0;  // 0: there is no such record
+  std::uint64_t mod_revision = 0;  // 0: there is no such record
   bool writing = false;
   bool urgent = false;    // names a machine that is not on record yet
   bool outdated = false;  // names one that is gone, or an address is missing
@@ -143,7 +143,7 @@
   void on_record(Machine& machine, const std::string& group);
   // The group's record has no use any more.
   static bool deletable(const MachineGroup& group) {
-    return group.members.empty() && group.leaving.empty() && group.stamp != 0;
+    return group.members.empty() && group.leaving.empty() && group.mod_revision != 0;
   }
 
   // Which durable record names the machine in the layout by number.
@@ -160,8 +160,8 @@
                                    std::vector<std::string>& named);
   // Adds the machines that the record names, as unseen. What leaders before `trusted_since` wrote of
   // unanswered machines counts for nothing: one of them may have answered without writing so.
-  bool read_group(const std::string& group, std::uint64_t stamp, const boost::json::value& value, double now,
-                  std::uint64_t trusted_since);
+  bool read_group(const std::string& group, std::uint64_t mod_revision, const boost::json::value& value,
+                  double now, std::uint64_t trusted_since);
 
  private:
   using UnansweredSince = std::map<std::string, std::int64_t>;  // by machine: time of day, ms
--- a/src/bookkeeping/machine_records.cpp
+++ b/src/bookkeeping/machine_records.cpp
@@ -167,9 +167,9 @@
   return result;
 }
 
-bool MachineLedger::read_group(const std::string& group, std::uint64_t stamp, const json::value& value,
+bool MachineLedger::read_group(const std::string& group, std::uint64_t mod_revision, const json::value& value,
                                double now, std::uint64_t trusted_since) {
-  groups_[group].stamp = stamp;
+  groups_[group].mod_revision = mod_revision;
   if (!value.is_object()) return false;
   const auto* members = value.get_object().if_contains(kMembers);
   if (members == nullptr || !members->is_array()) return false;
--- a/src/bookkeeping/quota.hpp
+++ b/src/bookkeeping/quota.hpp
@@ -23,7 +23,7 @@
     used_.clear();
     unseen_.clear();
   }
-  // Another one that is asked before each placement and told of each charge. May be null.
+  // Another one that is asked before each placement and announced of each charge. May be null.
   void set_guard(LaunchGuard* guard) { guard_ = guard; }
   // The guard's other source of capacity promised it to the job.
   bool granted(protocol::JobId job) const { return guard_ != nullptr && guard_->granted(job); }
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -135,7 +135,7 @@
          if (result.status == 200 && value && value->is_object()) {
            const auto& object = value->get_object();
            read.found = StateRead::Found::kYes;
-           read.stamp = number(object, n::kVersion);
+           read.mod_revision = number(object, n::kModRevision);
            if (const auto* data = object.if_contains(n::kValue)) read.value = *data;
          } else if (result.status == 404) {
            read.found = StateRead::Found::kNo;
@@ -164,8 +164,8 @@
              if (!item.is_object()) continue;
              const auto& entry = item.get_object();
              const auto* data = entry.if_contains(n::kValue);
-             page.items.push_back(
-                 {text(entry, n::kKey), number(entry, n::kVersion), data != nullptr ? *data : json::value()});
+             page.items.push_back({text(entry, n::kKey), number(entry, n::kModRevision),
+                                   data != nullptr ? *data : json::value()});
            }
          }
          done(page);
@@ -196,7 +196,7 @@
           StateEvent event;
           event.deleted = entry.contains(n::kDelete);
           event.key = text(entry, event.deleted ? n::kDelete : n::kPut);
-          event.stamp = number(entry, n::kVersion);
+          event.mod_revision = number(entry, n::kModRevision);
           if (const auto* data = entry.if_contains(n::kValue)) event.value = *data;
           watch.events.push_back(std::move(event));
         }
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -34,7 +34,7 @@
 
 struct StateItem {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
   boost::json::value value;
 };
 struct StatePage {
@@ -44,15 +44,15 @@
 };
 struct StateRead {
   enum class Found { kYes, kNo, kUnknown } found = Found::kUnknown;
-  std::uint64_t stamp = 0;     // of the key, when found
-  std::uint64_t revision = 0;  // of the service, when not
+  std::uint64_t mod_revision = 0;  // of the key, when found
+  std::uint64_t revision = 0;      // of the service, when not
   boost::json::value value;
 };
 struct StateEvent {
   std::string key;
   bool deleted = false;
   boost::json::value value;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
 };
 struct WatchResult {
   bool good = false;
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -19,9 +19,9 @@
 TxnWriter::TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random)
     : settings_(settings), state_(state), random_(random) {}
 
-void TxnWriter::set_guard(std::string key, std::uint64_t stamp, std::function<void()> lost) {
+void TxnWriter::set_guard(std::string key, std::uint64_t mod_revision, std::function<void()> lost) {
   guard_key_ = std::move(key);
-  guard_stamp_ = stamp;
+  guard_mod_revision_ = mod_revision;
   guard_lost_ = std::move(lost);
   ++generation_;
 }
@@ -98,13 +98,13 @@
 
 void TxnWriter::send(std::vector<UnitPtr> batch) {
   json::array conditions, changes;
-  const auto condition = [&](const std::string& key, std::uint64_t stamp) {
+  const auto condition = [&](const std::string& key, std::uint64_t mod_revision) {
     json::object entry;
     entry[n::kKey] = key;
-    entry[n::kVersion] = stamp;
+    entry[n::kModRevision] = mod_revision;
     conditions.emplace_back(std::move(entry));
   };
-  if (!batch.empty() && batch.front()->guarded) condition(guard_key_, guard_stamp_);
+  if (!batch.empty() && batch.front()->guarded) condition(guard_key_, guard_mod_revision_);
   for (const auto& unit : batch) {
     for (const auto& op : unit->ops) {
       condition(op.key, op.expect);
@@ -122,8 +122,8 @@
   }
   const int writes = static_cast<int>(changes.size());
   json::object body;
-  body[n::kIf] = std::move(conditions);
-  body[n::kThen] = std::move(changes);
+  body[n::kConditions] = std::move(conditions);
+  body[n::kOperations] = std::move(changes);
   ++in_flight_;
   state_.call(StateClient::Urgency::kNormal, "POST", n::kPathTxn, json::serialize(body), writes,
               constants::kStateTimeoutS,
@@ -235,7 +235,7 @@
       const auto* mark = read.value.get_object().if_contains(kMark);
       carried_out = mark != nullptr && mark->is_string() && mark->get_string() == unit->mark;
     }
-    unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.stamp);
+    unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.mod_revision);
   });
 }
 
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -20,7 +20,7 @@
 
 struct WriteOp {
   std::string key;
-  std::uint64_t expect = 0;                  // stamp that the key must have; 0: the key must not exist
+  std::uint64_t expect = 0;                  // mod_revision that the key must have; 0: the key must not exist
   std::optional<boost::json::object> value;  // nothing: delete the key
   bool compare_only = false;                 // a condition, no change
 };
@@ -42,8 +42,8 @@
  public:
   TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random);
 
-  // While a guard is set, each transaction also demands that the leader key still has this stamp.
-  void set_guard(std::string key, std::uint64_t stamp, std::function<void()> lost);
+  // While a guard is set, each transaction also demands that the leader key still has this mod_revision.
+  void set_guard(std::string key, std::uint64_t mod_revision, std::function<void()> lost);
   void clear_guard();
 
   void submit(std::vector<WriteOp> ops, Written written, WriteClass urgency = WriteClass::kUser);
@@ -84,7 +84,7 @@
   bool paused_ = false;
   std::size_t ops_learned_ = std::numeric_limits<std::size_t>::max();  // by what was refused
   std::string guard_key_;
-  std::uint64_t guard_stamp_ = 0;
+  std::uint64_t guard_mod_revision_ = 0;
   std::uint64_t generation_ = 0;
   std::function<void()> guard_lost_;
 };
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -21,17 +21,20 @@
 inline constexpr double kValidityMarginS = 0.3;  // s: taken off the leader's own reckoning of its lease
 inline constexpr double kCaretakerBoundS =
     90.0;  // s: after its last renewal a leader answers no heartbeat any more
-inline constexpr double kToldMarginS = 1.5;   // s: what is told on its way, ticks, and a worker's own steps
+inline constexpr double kCancellationMarginS =
+    1.5;  // s: what is announced on its way, ticks, and a worker's own steps
 inline constexpr double kLeastAnswerS = 6.0;  // s between a lease and a cancellation, below which the books
                                               // may not lag at all: they do by 2 s or so
 inline constexpr double kStrictAnswerS =
     45.0;  // s: the caretaker's bound there, since cancellations wait for it; well below 75 s
-inline constexpr double kBooksFreshS = 2.0;  // s for which a member's answered question lets a leader's books
-                                             // speak for it: two heartbeats and a delay
-inline constexpr double kNoticesEveryS = 1.0;   // s between two looks at what other controllers wrote
-inline constexpr double kNoticesCalls = 10;     // ...or so many calls that the state service grants
-inline constexpr std::size_t kToldKept = 4096;  // told withdrawals kept for members that missed them
-inline constexpr std::size_t kToldBatch = 400;  // of them in one message
+inline constexpr double kInMemoryStateFreshS =
+    2.0;  // s for which a member's answered question lets a leader's books
+          // speak for it: two heartbeats and a delay
+inline constexpr double kChangeLogEveryS = 1.0;  // s between two looks at what other controllers wrote
+inline constexpr double kChangeLogCalls = 10;    // ...or so many calls that the state service grants
+inline constexpr std::size_t kAnnouncedKept =
+    4096;  // announced cancellations kept for members that missed them
+inline constexpr std::size_t kAnnouncedBatch = 400;  // of them in one message
 inline constexpr double kOverdueShare =
     0.5;  // of the time a cancellation has, after which a machine that has not shown it is given back...
 inline constexpr double kOverdueLeadS = 10.0;  // s: ...but so long before its end, for the cloud's answer
@@ -105,8 +108,9 @@
     std::size_t{32} * 1024;  // bytes for another controller that are sent without waiting for the tick
 inline constexpr double kParkS = 2.5;       // s a heartbeat waits for a leader: its worker gives up after 4 s
 inline constexpr double kParkedPerMb = 16;  // heartbeats waiting for a leader, for each MB of memory
-inline constexpr double kToldPerMb = 20;    // machines whose last heartbeat is kept, for each MB of memory
-inline constexpr double kDelegateS = 3.0;   // s for a direct call that another controller makes
+inline constexpr double kLastHeartbeatsPerMb =
+    20;                                    // machines whose last heartbeat is kept, for each MB of memory
+inline constexpr double kDelegateS = 3.0;  // s for a direct call that another controller makes
 inline constexpr int kKeyBits =
     24;  // requests are numbered above a random start: answers to an earlier process miss
 
@@ -187,7 +191,7 @@
 inline constexpr std::size_t kDirectListMax =
     64;  // attempts that stay listed on a machine before heartbeats carry launches
 inline constexpr double kDirectDoubtS =
-    6.0;  // s: an unanswered launch of withdrawn work, before its machine goes
+    6.0;  // s: an unanswered launch of cancelled work, before its machine goes
 inline constexpr std::uint64_t kAttemptBits = 24;  // attempts are term << 24 | counter: never used twice
 inline constexpr std::size_t kCommandsMax = 200;   // commands in one answer: stays far below 64 KiB
 inline constexpr double kDeafShareMax = 0.05;  // above this share of deaf machines the fault is on our side
--- a/src/coordination/withdrawals.hpp
+++ b/src/coordination/cancellations.hpp
@@ -1,5 +1,5 @@
-// What users were told of cancellations, and how far this controller surely knows of all that anybody told.
-// It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
+// What users were announced of cancellations, and how far this controller surely knows of all that anybody
+// announced. It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
@@ -14,35 +14,35 @@
 
 namespace robinford::coordination {
 
-class Withdrawals {
+class Cancellations {
  public:
-  explicit Withdrawals(const protocol::Settings& settings);
+  explicit Cancellations(const protocol::Settings& settings);
 
-  // ---- what this controller told ----
-  // A user is about to hear that the job is withdrawn. True: for the first time from this process.
-  bool tell(protocol::JobId id);
-  std::uint64_t told() const { return first_kept_ + log_.size() - 1; }
+  // ---- what this controller announced ----
+  // A user is about to hear that the job is cancelled. True: for the first time from this process.
+  bool announce(protocol::JobId id);
+  std::uint64_t announced() const { return first_kept_ + log_.size() - 1; }
   // No other controller can still answer from books that lack it: each has acknowledged it, or was last
   // vouched for so long ago that its books are not current.
-  bool heard_by_all(protocol::JobId id, double now);
+  bool acknowledged_by_all(protocol::JobId id, double now);
   // What `member` has not acknowledged, as a message; nothing when there is nothing.
   std::optional<protocol::PeerMessage> unacknowledged(const std::string& member) const;
   // The part of a status to `member` that proves what it knows, and asks the same of it.
   void sign(const std::string& member, double now, protocol::PeerMessage& status);
 
-  // ---- what others told ----
+  // ---- what others announced ----
   // The jobs that the message names, in any order.
-  void take_told(const protocol::PeerMessage& message);
+  void take_announced(const protocol::PeerMessage& message);
   void take_status(const protocol::PeerMessage& status, std::uint64_t own_incarnation);
 
   // ---- what the state service shows ----
   void elected();  // nothing is known yet
   void ended();    // not the leader any more
   // The notices were asked for, and all read; `renewed`: when the last answered renewal was sent.
-  void notices_asked(double now);
-  void notices_read(double renewed);
+  void change_log_requested(double now);
+  void change_log_read(double renewed);
   void renewed(double sent);
-  // Steady moment up to which every withdrawal that anybody told is surely known here.
+  // Steady moment up to which every withdrawal that anybody announced is surely known here.
   double known_up_to(double now) const;
   // The same, by the state service alone.
   double read_up_to() const { return read_at_; }
@@ -61,13 +61,13 @@
  private:
   struct Peer {
     std::uint64_t incarnation = 0;
-    std::uint64_t count = 0;         // what it has told, by its own word
+    std::uint64_t count = 0;         // what it has announced, by its own word
     std::uint64_t taken = 0;         // up to here all is known
     bool whole = false;              // ...of all its processes: the chain has no gap
     double known_at = -1e9;          // up to here in time
-    std::uint64_t question = 0;      // its last one, to be echoed
-    double echoed_at = -1e9;         // when it was vouched to last that all we told is known
-    std::uint64_t acknowledged = 0;  // of what we told
+    std::uint64_t probe = 0;         // its last one, to be echoed
+    double echoed_at = -1e9;         // when it was vouched to last that all we announced is known
+    std::uint64_t acknowledged = 0;  // of what we announced
   };
   Peer& peer_of(const protocol::PeerMessage& message);
   bool late(const protocol::PeerMessage& message) const;
@@ -77,7 +77,7 @@
   double answer_s_ = 0;
   bool strict_ = false;
   bool leading_ = false;
-  std::deque<protocol::JobId> log_;                  // in the order told
+  std::deque<protocol::JobId> log_;                  // in the order announced
   std::map<protocol::JobId, std::uint64_t> in_log_;  // and their numbers
   std::uint64_t first_kept_ = 1;                     // number of the first entry of the log
   std::map<std::string, Peer> peers_;
@@ -87,7 +87,7 @@
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
         counts;  // incarnation and count, by member
   };
-  std::optional<Snapshot> asking_, read_;
+  std::optional<Snapshot> requested_, read_;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/change_log.cpp
+++ b/src/coordination/change_log.cpp
@@ -26,7 +26,7 @@
 }
 
 bool is_cancellation(const boost::json::value& value) {
-  return value.is_object() && value.get_object().contains(bookkeeping::kNoticeWithdrawn);
+  return value.is_object() && value.get_object().contains(bookkeeping::kEntryCancelled);
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
 
 WriteOp ChangeLog::entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
   boost::json::object value;
-  if (cancelled) value[bookkeeping::kNoticeWithdrawn] = true;
+  if (cancelled) value[bookkeeping::kEntryCancelled] = true;
   return {kPrefix + protocol::job_id_text(id) + "." + std::to_string(incarnation) + "." +
               std::to_string(sequence),
           0, std::move(value)};
@@ -44,7 +44,7 @@
 
 void ChangeLog::begin(Done done) {
   end();
-  core_.withdrawals.notices_asked(core_.now.steady);
+  core_.cancellations.change_log_requested(core_.now.steady);
   load("", 0, std::move(done));
 }
 
@@ -52,7 +52,7 @@
   ++generation_;
   reading_ = false;
   read_began_ = 0;
-  leftovers_.clear();
+  uncollected_.clear();
   auto waiting = std::move(waiting_for_open_);
   for (auto& done : waiting_for_next_) waiting.push_back(std::move(done));
   waiting_for_open_.clear();
@@ -68,7 +68,7 @@
                     generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
                      if (generation != generation_) return;
                      if (!page) return done(false);
-                     for (const auto& item : page->items) delete_entry(item.key, item.stamp);
+                     for (const auto& item : page->items) delete_entry(item.key, item.mod_revision);
                      const auto from = after.empty() ? page->revision : watch_from;
                      if (page->more && !page->items.empty()) return load(page->items.back().key, from, done);
                      watch(from);
@@ -101,26 +101,26 @@
     else
       events_.changed(*id);
   }
-  delete_entry(event.key, event.stamp);
+  delete_entry(event.key, event.mod_revision);
 }
 
 // An entry that can't be deleted now, since too much waits to be written, is tried again: what is left lying
 // would be read by every leader after this one.
-void ChangeLog::delete_entry(const std::string& key, std::uint64_t stamp) {
+void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
   core_.writer.submit(
-      {{key, stamp, std::nullopt}},
-      [this, key, stamp, generation = generation_](WriteOutcome outcome, std::uint64_t) {
+      {{key, mod_revision, std::nullopt}},
+      [this, key, mod_revision, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
-          leftovers_.emplace_back(key, stamp);
+          uncollected_.emplace_back(key, mod_revision);
       },
       WriteClass::kTidy);
 }
 
-void ChangeLog::delete_leftovers() {
-  while (!leftovers_.empty() && core_.writer.waiting() < c::kQuietWriter) {
-    const auto [key, stamp] = leftovers_.back();
-    leftovers_.pop_back();
-    delete_entry(key, stamp);
+void ChangeLog::delete_uncollected() {
+  while (!uncollected_.empty() && core_.writer.waiting() < c::kQuietWriter) {
+    const auto [key, mod_revision] = uncollected_.back();
+    uncollected_.pop_back();
+    delete_entry(key, mod_revision);
   }
 }
 
@@ -133,18 +133,18 @@
 
 void ChangeLog::start_read_if_due() {
   if (reading_) return;
-  const double shortest_pause_s = c::kNoticesCalls / core_.settings.state_rps;
+  const double shortest_pause_s = c::kChangeLogCalls / core_.settings.state_rps;
   double pause_s = c::kLoadRetryS;
   if (!waiting_for_next_.empty())
-    pause_s = std::min(shortest_pause_s, c::kNoticesEveryS);
+    pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
   else if (election_.caught_up())
-    pause_s = std::max(c::kNoticesEveryS, shortest_pause_s);
+    pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
   if (core_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
   read_began_ = core_.now.steady;
   waiting_for_open_ = std::move(waiting_for_next_);
   waiting_for_next_.clear();
-  core_.withdrawals.notices_asked(core_.now.steady);
+  core_.cancellations.change_log_requested(core_.now.steady);
   read("");
 }
 
@@ -160,7 +160,7 @@
                        if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
                      }
                      if (page->more && !page->items.empty()) return read(page->items.back().key);
-                     core_.withdrawals.notices_read(election_.last_renewed());
+                     core_.cancellations.change_log_read(election_.last_renewed());
                      finish_read(true);
                    });
 }
--- a/src/coordination/change_log.hpp
+++ b/src/coordination/change_log.hpp
@@ -32,7 +32,7 @@
   void end();
   void tick();
   // Deletes entries that were acted on, while the writer is quiet.
-  void delete_leftovers();
+  void delete_uncollected();
 
   // Calls `done` after a read of the whole log that began after this call. All that wait share one read, so a
   // flood of questions costs the state service no more than a few requests a second.
@@ -49,7 +49,7 @@
   void read(const std::string& after);
   void finish_read(bool read);
   void start_read_if_due();
-  void delete_entry(const std::string& key, std::uint64_t stamp);
+  void delete_entry(const std::string& key, std::uint64_t mod_revision);
 
   Core& core_;
   const Election& election_;
@@ -59,7 +59,7 @@
   double read_began_ = 0;               // s, steady
   std::vector<Done> waiting_for_next_;  // requests that came after the open read began
   std::vector<Done> waiting_for_open_;
-  std::vector<std::pair<std::string, std::uint64_t>> leftovers_;  // keys and stamps still to be deleted
+  std::vector<std::pair<std::string, std::uint64_t>> uncollected_;  // keys and stamps still to be deleted
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -24,7 +24,7 @@
       election_(core_, {[this] {
                           core_.state.set_leading(true);
                           core_.metrics.count("elections_won");
-                          core_.withdrawals.elected();
+                          core_.cancellations.elected();
                           quota_leases_.elected();
                           fleet_.begin();
                           scheduler_.begin();
@@ -32,7 +32,7 @@
                         },
                         [this] {
                           core_.state.set_leading(false);
-                          core_.withdrawals.ended();
+                          core_.cancellations.ended();
                           quota_leases_.lost();
                           fleet_.end();
                           job_requests_.end();
@@ -60,7 +60,7 @@
         const auto leader = leader_member();
         if (leader.empty() || leader == core_.settings.member) return;
         PeerMessage message;
-        message.kind = PeerKind::kNudge;
+        message.kind = PeerKind::kJobChanged;
         message.job = id;
         send(leader, std::move(message));
       }) {
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -64,9 +64,9 @@
   void route(std::uint64_t key);
   void serve(std::uint64_t key);
   void answer(std::uint64_t key, int status, int retry_after_s, std::string body);
-  // The one place where a user hears that a job is withdrawn, or another controller does for its user.
+  // The one place where a user hears that a job is cancelled, or another controller does for its user.
   void answer_user(std::uint64_t key, const UserAnswer& answer);
-  void tell_withdrawn(protocol::JobId id);
+  void announce_cancellation(protocol::JobId id);
   void answer_heartbeat(std::uint64_t key, int status, std::vector<protocol::Command> commands,
                         std::uint64_t term);
   void forward(std::uint64_t key, const std::string& member);
@@ -104,12 +104,12 @@
   std::map<std::string, std::string> batches_;  // frames being filled, by member
   // What the leader heard last of the machines that heartbeat here: a heartbeat that changes nothing is a few
   // bytes.
-  struct Told {
+  struct LastHeartbeat {
     std::string leader;
     std::uint64_t term = 0, agent_epoch = 0, seq = 0;
     std::string state;
   };
-  std::map<std::string, Told> told_;
+  std::map<std::string, LastHeartbeat> last_heartbeats_;
   std::map<std::uint64_t, double>
       delegated_;              // direct calls that another controller makes for us, with their time limit
   std::size_t questions_ = 0;  // calls that we make for a leader
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -16,7 +16,7 @@
 #include "constants.hpp"
 #include "coordination/boot_times.hpp"
 #include "coordination/metrics.hpp"
-#include "coordination/withdrawals.hpp"
+#include "coordination/cancellations.hpp"
 #include "protocol/events.hpp"
 #include "protocol/policy.hpp"
 #include "protocol/settings.hpp"
@@ -34,7 +34,7 @@
         state(settings, calls),
         writer(settings, state, random),
         quota(settings),
-        withdrawals(settings) {}
+        cancellations(settings) {}
 
   const protocol::Settings settings;
   const protocol::Policy policy;
@@ -48,10 +48,10 @@
   bookkeeping::JobLedger jobs;
   bookkeeping::MachineLedger machines;
   bookkeeping::QuotaAccounts quota;
-  Withdrawals withdrawals;
+  Cancellations cancellations;
   BootTimes boots;
   Metrics metrics;
-  // Told when a job's final state is durable.
+  // LastHeartbeat when a job's final state is durable.
   std::function<void(protocol::JobId, bookkeeping::FinalState)> job_over;
   std::map<std::string, protocol::MachineType> types;  // the catalog; empty: not known yet
 
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -65,11 +65,11 @@
 
 bool Election::answers() const {
   const double now = core_.now.steady;
-  const auto& withdrawals = core_.withdrawals;
+  const auto& cancellations = core_.cancellations;
   if (!owns_fencing_token()) return false;
   // Where leases and cancellations are too close together, nobody tells before this bound has passed.
-  if (withdrawals.strict()) return now < last_renewed_ + withdrawals.answer_s() * (1 - c::kClockDrift);
-  return now < withdrawals.known_up_to(now) + withdrawals.answer_s();
+  if (cancellations.strict()) return now < last_renewed_ + cancellations.answer_s() * (1 - c::kClockDrift);
+  return now < cancellations.known_up_to(now) + cancellations.answer_s();
 }
 
 void Election::become(Role role) {
@@ -126,13 +126,13 @@
         if (member == core_.settings.member) {
           // Our own name, from an earlier process or a claim that was carried out late: nobody else acts
           // under it.
-          claim(read.stamp);
+          claim(read.mod_revision);
           return;
         }
         leader_ = member;
         term_ = std::max(term_, count_field(read.value, kTerm));
         become(Role::kFollowing);
-        follow(read.stamp);
+        follow(read.mod_revision);
       },
       StateClient::Urgency::kFirst);
 }
@@ -159,13 +159,14 @@
   });
 }
 
-void Election::claim(std::uint64_t expected_stamp) {
+void Election::claim(std::uint64_t expected_mod_revision) {
   become(Role::kClaiming);
   const double sent = core_.now.steady;
   json::object body;
   body[n::kTtlMs] = c::kLeaderTtlMs;
   core_.state.call(StateClient::Urgency::kLease, "POST", n::kPathLeases, json::serialize(body), 0,
-                   c::kRenewTimeoutS, [this, epoch = epoch_, expected_stamp, sent](const CallResult& result) {
+                   c::kRenewTimeoutS,
+                   [this, epoch = epoch_, expected_mod_revision, sent](const CallResult& result) {
                      if (epoch != epoch_) return;
                      const auto value = protocol::parse_json(result.body);
                      const std::uint64_t lease = value ? count_field(*value, n::kLease) : 0;
@@ -174,14 +175,14 @@
                        become(Role::kLooking);
                        return;
                      }
-                     read_term(expected_stamp, lease, sent);
+                     read_term(expected_mod_revision, lease, sent);
                    });
 }
 
-void Election::read_term(std::uint64_t expected_stamp, std::uint64_t lease, double sent) {
+void Election::read_term(std::uint64_t expected_mod_revision, std::uint64_t lease, double sent) {
   core_.state.read(
       kTermKey,
-      [this, epoch = epoch_, expected_stamp, lease, sent](const StateRead& read) {
+      [this, epoch = epoch_, expected_mod_revision, lease, sent](const StateRead& read) {
         if (epoch != epoch_) return;
         if (read.found == StateRead::Found::kUnknown) {
           next_try_ = core_.now.steady + c::kClaimRetryS;
@@ -198,7 +199,8 @@
         const auto records_since = count_field(read.value, kRecordsSince);
         records_since_ = records_since > 0 ? records_since : count_field(read.value, kTerm) + 1;
         chain_wall_ = static_cast<std::int64_t>(count_field(read.value, kQuiet));
-        write_claim(expected_stamp, lease, sent, read.stamp, count_field(read.value, kTerm) + 1);
+        write_claim(expected_mod_revision, lease, sent, read.mod_revision,
+                    count_field(read.value, kTerm) + 1);
       },
       StateClient::Urgency::kFirst);
 }
@@ -210,12 +212,12 @@
   record[kTerm] = term;
   record[kRecordsSince] = records_since_;
   record[kQuiet] = quiet_wall;
-  record[kAnswers] = static_cast<std::int64_t>(std::ceil(core_.withdrawals.answer_s() * 1000));
+  record[kAnswers] = static_cast<std::int64_t>(std::ceil(core_.cancellations.answer_s() * 1000));
   return record;
 }
 
-void Election::write_claim(std::uint64_t expected_stamp, std::uint64_t lease, double sent,
-                           std::uint64_t term_stamp, std::uint64_t next_term) {
+void Election::write_claim(std::uint64_t expected_mod_revision, std::uint64_t lease, double sent,
+                           std::uint64_t term_mod_revision, std::uint64_t next_term) {
   const bool former_was_us = former_.empty() || former_ == core_.settings.member;
   const auto bound_wall = core_.now.wall_ms + static_cast<std::int64_t>(former_answer_s_ * 1000 +
                                                                         2 * core_.settings.clock_error_ms);
@@ -224,13 +226,13 @@
   lead[kMember] = core_.settings.member;
   lead[kIncarnation] = core_.incarnation;
   lead[kTerm] = next_term;
-  json::array conditions{{{n::kKey, kLeaderKey}, {n::kVersion, expected_stamp}},
-                         {{n::kKey, kTermKey}, {n::kVersion, term_stamp}}};
+  json::array conditions{{{n::kKey, kLeaderKey}, {n::kModRevision, expected_mod_revision}},
+                         {{n::kKey, kTermKey}, {n::kModRevision, term_mod_revision}}};
   json::array changes{{{n::kPut, kLeaderKey}, {n::kValue, lead}, {n::kLease, lease}},
                       {{n::kPut, kTermKey}, {n::kValue, term_record(next_term, quiet_wall)}}};
   json::object body;
-  body[n::kIf] = std::move(conditions);
-  body[n::kThen] = std::move(changes);
+  body[n::kConditions] = std::move(conditions);
+  body[n::kOperations] = std::move(changes);
   core_.state.call(StateClient::Urgency::kLease, "POST", n::kPathTxn, json::serialize(body), 2,
                    c::kRenewTimeoutS,
                    [this, epoch = epoch_, lease, sent, next_term](const CallResult& result) {
@@ -260,7 +262,7 @@
         if (read.found == StateRead::Found::kYes && text(read.value, kMember) == core_.settings.member &&
             count_field(read.value, kIncarnation) == core_.incarnation &&
             count_field(read.value, kTerm) == next_term) {
-          won(lease, sent, next_term, read.stamp);
+          won(lease, sent, next_term, read.mod_revision);
           return;
         }
         // Not (yet): the lease is left to run out. A claim carried out later stands under our own name and is
@@ -271,11 +273,11 @@
       StateClient::Urgency::kFirst);
 }
 
-void Election::won(std::uint64_t lease, double sent, std::uint64_t next_term, std::uint64_t stamp) {
+void Election::won(std::uint64_t lease, double sent, std::uint64_t next_term, std::uint64_t mod_revision) {
   const double now = core_.now.steady;
   lease_ = lease;
   term_ = next_term;
-  stamp_ = stamp;
+  mod_revision_ = mod_revision;
   leader_ = core_.settings.member;
   last_renewed_ = sent;
   valid_until_ = sent + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
@@ -299,7 +301,7 @@
                      if (lease != lease_ || (role_ != Role::kLeading && role_ != Role::kCaretaker)) return;
                      if (result.status == 200) {
                        last_renewed_ = std::max(last_renewed_, sent);
-                       core_.withdrawals.renewed(sent);
+                       core_.cancellations.renewed(sent);
                        valid_until_ = last_renewed_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) -
                                       c::kValidityMarginS;
                        if (role_ == Role::kCaretaker && core_.now.steady < valid_until_)
@@ -311,15 +313,15 @@
 }
 
 bool Election::caught_up() const {
-  const double known = core_.withdrawals.read_up_to();
+  const double known = core_.cancellations.read_up_to();
   return known >= leading_since_ &&
-         (core_.withdrawals.strict() || core_.now.steady < known + core_.withdrawals.answer_s() / 2);
+         (core_.cancellations.strict() || core_.now.steady < known + core_.cancellations.answer_s() / 2);
 }
 
-bool Election::may_tell_withdrawn(protocol::JobId id) const {
+bool Election::may_announce_cancellation(protocol::JobId id) const {
   // The leader's books know it. Its former leader's do not matter: they are not valid any more.
-  if (valid()) return !core_.withdrawals.strict() || core_.now.steady >= former_leaders_silent_at();
-  return !core_.withdrawals.strict() && core_.withdrawals.heard_by_all(id, core_.now.steady);
+  if (valid()) return !core_.cancellations.strict() || core_.now.steady >= former_leaders_silent_at();
+  return !core_.cancellations.strict() && core_.cancellations.acknowledged_by_all(id, core_.now.steady);
 }
 
 void Election::step_down(const char* why) {
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -35,20 +35,20 @@
 
   Role role() const { return role_; }
   std::uint64_t term() const { return term_; }
-  std::uint64_t stamp() const { return stamp_; }
+  std::uint64_t mod_revision() const { return mod_revision_; }
   // May place, launch and write.
   bool valid() const;
   // The token is ours, as far as can be known: commands may carry it. They renew no lease.
   bool owns_fencing_token() const;
   // May answer heartbeats with the token, which renews leases: only while every cancellation that any user
-  // was told of is known here, or was told so lately that the leases renewed now end in time.
+  // was announced of is known here, or was announced so lately that the leases renewed now end in time.
   bool answers() const;
-  // The cancellations told while we could not lead are known, so that work may start: a job called off in an
-  // outage was started once more after it, before its notice was read.
+  // The cancellations announced while we could not lead are known, so that work may start: a job called off
+  // in an outage was started once more after it, before its notice was read.
   bool caught_up() const;
-  // Whether a user may hear now that a job is withdrawn: all its tasks then end in time, whoever answers
+  // Whether a user may hear now that a job is cancelled: all its tasks then end in time, whoever answers
   // heartbeats.
-  bool may_tell_withdrawn(protocol::JobId id) const;
+  bool may_announce_cancellation(protocol::JobId id) const;
   double last_renewed() const { return last_renewed_; }
   // All leaders from this term on record which machines they do not answer any more.
   std::uint64_t records_since() const { return records_since_; }
@@ -60,12 +60,12 @@
   void become(Role role);
   void look();
   void follow(std::uint64_t after);
-  void claim(std::uint64_t expected_stamp);
-  void read_term(std::uint64_t expected_stamp, std::uint64_t lease, double sent);
-  void write_claim(std::uint64_t expected_stamp, std::uint64_t lease, double sent, std::uint64_t term_stamp,
-                   std::uint64_t next_term);
+  void claim(std::uint64_t expected_mod_revision);
+  void read_term(std::uint64_t expected_mod_revision, std::uint64_t lease, double sent);
+  void write_claim(std::uint64_t expected_mod_revision, std::uint64_t lease, double sent,
+                   std::uint64_t term_mod_revision, std::uint64_t next_term);
   void settle_claim(std::uint64_t lease, double sent, std::uint64_t next_term);
-  void won(std::uint64_t lease, double sent, std::uint64_t next_term, std::uint64_t stamp);
+  void won(std::uint64_t lease, double sent, std::uint64_t next_term, std::uint64_t mod_revision);
   void renew();
   void step_down(const char* why);
   void former_is_over(const char* how);
@@ -75,8 +75,8 @@
   Events events_;
   Role role_ = Role::kLooking;
   std::string leader_;
-  std::uint64_t term_ = 0;   // of our own leadership, or the highest seen
-  std::uint64_t stamp_ = 0;  // of the leader key, while leading
+  std::uint64_t term_ = 0;          // of our own leadership, or the highest seen
+  std::uint64_t mod_revision_ = 0;  // of the leader key, while leading
   std::uint64_t lease_ = 0;
   double valid_until_ = -1e9;    // may act as leader
   double last_renewed_ = -1e9;   // sent time of the last renewal that was answered
@@ -91,7 +91,7 @@
   double former_answer_s_ = 0;
   double former_silent_at_ = -1e9, all_former_silent_at_ = -1e9;
   std::int64_t chain_wall_ = 0;
-  std::uint64_t term_stamp_ = 0;
+  std::uint64_t term_mod_revision_ = 0;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -54,7 +54,7 @@
       scheduler_.phase() == LeaderPhase::kLoading)
     return;
   if (!election_.valid()) {
-    // A caretaker returns nothing but what may hold withdrawn work: those users were promised that it ends.
+    // A caretaker returns nothing but what may hold cancelled work: those users were promised that it ends.
     return return_machines([](const Machine& machine) {
       return machine.state == MachineState::kReturning && !machine.overdue.empty();
     });
@@ -140,7 +140,7 @@
           published_ = false;
           return;
         }
-        core_.writer.submit({{"cat", read.stamp, value->get_object()}}, [](auto, auto) {});
+        core_.writer.submit({{"cat", read.mod_revision, value->get_object()}}, [](auto, auto) {});
       });
 }
 
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/job_lookup.cpp
@@ -32,9 +32,9 @@
   core_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
     if (live.found == StateRead::Found::kUnknown) return done({});
     if (live.found == StateRead::Found::kYes) {
-      if (!JobLedger::is_withdrawn(live.value)) return done({Known::What::kLive, FinalState::kDone, live});
+      if (!JobLedger::is_cancelled(live.value)) return done({Known::What::kLive, FinalState::kDone, live});
       cancelled_(id);
-      return done({Known::What::kFinal, FinalState::kWithdrawn, {}});
+      return done({Known::What::kFinal, FinalState::kCancelled, {}});
     }
     // A job moves from live to final and never back, so this order misses none.
     core_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
@@ -42,7 +42,7 @@
       if (final.found == StateRead::Found::kNo) return done({Known::What::kNever, FinalState::kDone, {}});
       const auto state = JobLedger::final_from_record(final.value);
       if (!state) return done({});
-      if (*state == FinalState::kWithdrawn)
+      if (*state == FinalState::kCancelled)
         cancelled_(id);
       else
         core_.jobs.remember_final(id, *state);
@@ -54,7 +54,7 @@
 void JobLookup::state(JobId id, Done done) {
   own_records(id, [this, id, done = std::move(done)](const Known& known) {
     if (known.what != Known::What::kLive) return done(known);
-    const auto job = JobLedger::from_record(known.live.value, known.live.stamp, core_.now.steady);
+    const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
     if (!job || job->state != JobState::kWaiting) return done(known);
     auto walk = std::make_shared<Walk>(Walk{id, known, done, job->spec.dependencies, {}});
     this->walk(walk);
@@ -69,17 +69,17 @@
     if (const auto state = core_.jobs.final_state(next)) {
       if (*state == FinalState::kDone) continue;
       cancelled_(walk->id);
-      return walk->done({Known::What::kFinal, FinalState::kWithdrawn, {}});
+      return walk->done({Known::What::kFinal, FinalState::kCancelled, {}});
     }
     if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
     own_records(next, [this, walk](const Known& known) {
       if (known.what == Known::What::kUnknown || known.what == Known::What::kNever) return walk->done({});
-      if (known.what == Known::What::kFinal && known.state == FinalState::kWithdrawn) {
+      if (known.what == Known::What::kFinal && known.state == FinalState::kCancelled) {
         cancelled_(walk->id);
         return walk->done(known);
       }
       if (known.what == Known::What::kLive) {
-        const auto job = JobLedger::from_record(known.live.value, known.live.stamp, core_.now.steady);
+        const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
         if (!job) return walk->done({});
         if (job->state == JobState::kWaiting)
           walk->open.insert(walk->open.end(), job->spec.dependencies.begin(), job->spec.dependencies.end());
--- a/src/coordination/job_records.cpp
+++ b/src/coordination/job_records.cpp
@@ -32,15 +32,15 @@
   job.writing = true;
   job.last_write = core_.now.steady;
   core_.writer.submit(
-      {WriteOp{JobLedger::live_key(job.spec.id), job.stamp, std::move(record)}},
+      {WriteOp{JobLedger::live_key(job.spec.id), job.mod_revision, std::move(record)}},
       [this, id = job.spec.id, version = job.done_version, whole, generation = generation_](
-          WriteOutcome outcome, std::uint64_t stamp) {
+          WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
         Job* job = core_.jobs.find(id);
         if (job == nullptr) return;
         job->writing = false;
         if (outcome == WriteOutcome::kDone) {
-          job->stamp = stamp;
+          job->mod_revision = mod_revision;
           job->ready_on_record = true;
           if (whole) job->durable_version = version;
           push_final(*job);
@@ -57,63 +57,64 @@
   push_final(job);
 }
 
-void Scheduler::withdraw(Job& job) {
+void Scheduler::cancel(Job& job) {
   if (job.over()) return;
   // Nothing of it starts from here on, whatever becomes of the write.
-  JobLedger::set_state(job, JobState::kWithdrawing);
+  JobLedger::set_state(job, JobState::kCancelling);
   push_final(job);
 }
 
 // Writes the final record of a job that is about to be over; called again until that is done.
 void Scheduler::push_final(Job& job) {
-  if (job.writing || (job.state != JobState::kCompleting && job.state != JobState::kWithdrawing)) return;
+  if (job.writing || (job.state != JobState::kCompleting && job.state != JobState::kCancelling)) return;
   const JobId id = job.spec.id;
-  const FinalState state = job.state == JobState::kCompleting ? FinalState::kDone : FinalState::kWithdrawn;
+  const FinalState state = job.state == JobState::kCompleting ? FinalState::kDone : FinalState::kCancelled;
   job.writing = true;
-  if (state == FinalState::kWithdrawn && job.withdrawn_ms == 0) job.withdrawn_ms = core_.now.wall_ms;
-  // Of a job that is done nothing is left to run. The description of a withdrawn one stays until nothing of
+  if (state == FinalState::kCancelled && job.cancelled_ms == 0) job.cancelled_ms = core_.now.wall_ms;
+  // Of a job that is done nothing is left to run. The description of a cancelled one stays until nothing of
   // it is on any machine, so that a new leader knows what else may be out there and whose limit it counts
   // against.
-  WriteOp live{JobLedger::live_key(id), job.stamp, std::nullopt};
-  if (state == FinalState::kWithdrawn) {
+  WriteOp live{JobLedger::live_key(id), job.mod_revision, std::nullopt};
+  if (state == FinalState::kCancelled) {
     bool whole = true;
     const auto limit = core_.settings.value_bytes() - c::kValueSlackBytes;
-    live.value = JobLedger::withdrawn_record(JobLedger::record(job, limit, whole), job.withdrawn_ms);
+    live.value = JobLedger::cancelled_record(JobLedger::record(job, limit, whole), job.cancelled_ms);
   }
-  core_.writer.submit({WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(state)}, std::move(live)},
-                      [this, id, state, generation = generation_](WriteOutcome outcome, std::uint64_t stamp) {
-                        if (generation != generation_) return;
-                        Job* job = core_.jobs.find(id);
-                        if (job == nullptr) return;
-                        job->writing = false;
-                        if (outcome == WriteOutcome::kDone) {
-                          job->stamp = stamp;
-                          job->marked = state == FinalState::kWithdrawn;
-                          job_over(*job, state);
-                        } else if (outcome == WriteOutcome::kConflict)
-                          read_job(id);
-                      });
+  core_.writer.submit(
+      {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(state)}, std::move(live)},
+      [this, id, state, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
+        if (generation != generation_) return;
+        Job* job = core_.jobs.find(id);
+        if (job == nullptr) return;
+        job->writing = false;
+        if (outcome == WriteOutcome::kDone) {
+          job->mod_revision = mod_revision;
+          job->marked = state == FinalState::kCancelled;
+          job_over(*job, state);
+        } else if (outcome == WriteOutcome::kConflict)
+          read_job(id);
+      });
 }
 
 // By whatever way this controller learns of it: remembering the state alone once let the books go on with the
-// job. Told before its user is, so that no answer from these books is older than what the user heard. A
-// caretaker stops the tasks too: their machines go on reporting to it. While the ledger is read, loaded()
-// does it.
-void Scheduler::withdrawn_elsewhere(JobId id) {
+// job. LastHeartbeat before its user is, so that no answer from these books is older than what the user
+// heard. A caretaker stops the tasks too: their machines go on reporting to it. While the ledger is read,
+// loaded() does it.
+void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = core_.jobs.final_state(id).has_value();
-  core_.jobs.remember_final(id, FinalState::kWithdrawn);
-  if (phase_ != LeaderPhase::kNone) dependencies_.finished(id, FinalState::kWithdrawn);
+  core_.jobs.remember_final(id, FinalState::kCancelled);
+  if (phase_ != LeaderPhase::kNone) dependencies_.finished(id, FinalState::kCancelled);
   if (phase_ != LeaderPhase::kGathering && phase_ != LeaderPhase::kServing) return;
   Job* job = core_.jobs.find(id);
-  if (job != nullptr) job_over(*job, FinalState::kWithdrawn);
-  // For the stamp of its record, which is deleted in the end.
+  if (job != nullptr) job_over(*job, FinalState::kCancelled);
+  // For the mod_revision of its record, which is deleted in the end.
   if (!known || (job != nullptr && !job->marked)) read_job(id);
 }
 
 void Scheduler::read_job(JobId id) {
   // A read that is open may have been answered before the write that this call is about: then once more after
-  // it. A withdrawal told of while the read of the admission was open was overlooked so, and its job went on
-  // as pending.
+  // it. A withdrawal announced of while the read of the admission was open was overlooked so, and its job
+  // went on as pending.
   if (const auto open = reading_.find(id); open != reading_.end()) {
     open->second = true;
     return;
@@ -131,22 +132,22 @@
     }
     Job* job = core_.jobs.find(id);
     if (read.found == bookkeeping::StateRead::Found::kYes) {
-      const bool withdrawn = JobLedger::is_withdrawn(read.value);
+      const bool cancelled = JobLedger::is_cancelled(read.value);
       if (job != nullptr) {
-        if (read.stamp < job->stamp) return;  // answered before what we know of
-        job->stamp = read.stamp;
-        job->marked = withdrawn;
-        if (withdrawn) {
+        if (read.mod_revision < job->mod_revision) return;  // answered before what we know of
+        job->mod_revision = read.mod_revision;
+        job->marked = cancelled;
+        if (cancelled) {
           job->cancelled_on_record = true;
-          job_over(*job, FinalState::kWithdrawn);
-        } else if (job->over() && job->final_state == FinalState::kWithdrawn) {
+          job_over(*job, FinalState::kCancelled);
+        } else if (job->over() && job->final_state == FinalState::kCancelled) {
           // Cancelled through a dependency: only that one's record says so.
           job->cancelled_on_record = job->state != JobState::kOver;
         }
         push_final(*job);
         return;
       }
-      auto fresh = JobLedger::from_record(read.value, read.stamp, core_.now.steady);
+      auto fresh = JobLedger::from_record(read.value, read.mod_revision, core_.now.steady);
       if (!fresh || (core_.jobs.final_state(id) && !fresh->over())) return;
       auto& slot = core_.jobs.all()[id];
       slot = std::move(fresh);
@@ -198,7 +199,7 @@
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) {
     if (const auto& run = job.runs.at(index);
-        state == FinalState::kWithdrawn && run.state != RunState::kPlanned)
+        state == FinalState::kCancelled && run.state != RunState::kPlanned)
       if (Machine* machine = core_.machines.find(run.machine)) expect_cancelled_work_gone(*machine, job);
     stop_run(job, index, 0);
   }
@@ -229,7 +230,7 @@
 void Scheduler::dependency_cancelled(Job& job) {
   if (job.over()) return;
   job.cancelled_on_record = false;
-  job_over(job, FinalState::kWithdrawn);
+  job_over(job, FinalState::kCancelled);
 }
 
 // Nothing of it was ever placed, so no leader needs its description.
@@ -237,8 +238,8 @@
   const JobId id = job.spec.id;
   job.writing = true;
   core_.writer.submit(
-      {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kWithdrawn)},
-       WriteOp{JobLedger::live_key(id), job.stamp, std::nullopt}},
+      {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
+       WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}},
       [this, id, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation != generation_) return;
         Job* job = core_.jobs.find(id);
@@ -262,7 +263,7 @@
 }
 
 // Whether a machine shows tasks of the job, or may still hold some.
-bool Scheduler::leftovers_of(JobId id) {
+bool Scheduler::has_remaining_tasks(JobId id) {
   const bool strayed =
       std::any_of(stray_machines_.begin(), stray_machines_.end(), [&](const std::string& name) {
         const Machine* machine = core_.machines.find(name);
@@ -277,7 +278,7 @@
 }
 
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
-// what is withdrawn stays for a next leader while a machine may still hold it.
+// what is cancelled stays for a next leader while a machine may still hold it.
 void Scheduler::sweep_jobs() {
   for (const auto id : std::exchange(reread_, {})) read_job(id);
   std::vector<JobId> gone;
@@ -289,7 +290,8 @@
       write_derived_cancellation(*job);
       continue;
     }
-    if (job->runs.empty() && job->holds.empty() && !blocked(*job) && !leftovers_of(id)) gone.push_back(id);
+    if (job->runs.empty() && job->holds.empty() && !blocked(*job) && !has_remaining_tasks(id))
+      gone.push_back(id);
   }
   if (gone.empty()) return;
   std::erase_if(waiting_gangs_, [](const Job* job) { return job->over(); });
@@ -298,7 +300,8 @@
     Job& job = *core_.jobs.find(id);
     if (job.marked)
       core_.writer.submit(
-          {WriteOp{JobLedger::live_key(id), job.stamp, std::nullopt}}, [](auto, auto) {}, WriteClass::kTidy);
+          {WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}}, [](auto, auto) {},
+          WriteClass::kTidy);
     core_.jobs.erase(id);
   }
 }
--- a/src/coordination/job_requests.cpp
+++ b/src/coordination/job_requests.cpp
@@ -26,22 +26,22 @@
 }  // namespace
 
 JobRequests::JobRequests(Core& core, Election& election, Scheduler& scheduler, const PeerVersions& versions,
-                         Nudge nudge)
+                         JobChanged job_changed)
     : core_(core),
       election_(election),
       scheduler_(scheduler),
       versions_(versions),
       lookup_(scheduler.lookup()),
-      nudge_(std::move(nudge)) {}
+      job_changed_(std::move(job_changed)) {}
 
 UserAnswer JobRequests::busy(const char* reason) {
   return {503, c::kRetryAfterS, protocol::error_json(reason), std::nullopt};
 }
 
 UserAnswer JobRequests::state_answer(int status, const Job& job) const {
-  // Its end may be durable already, and another controller may have read and told it: nothing older from
+  // Its end may be durable already, and another controller may have read and announced it: nothing older from
   // here.
-  if (job.state == JobState::kCompleting || job.state == JobState::kWithdrawing)
+  if (job.state == JobState::kCompleting || job.state == JobState::kCancelling)
     return busy("its end is being written");
   if (job.state == JobState::kOver) return final_answer(job.spec.id, job.final_state);
   std::uint32_t active = 0;
@@ -55,14 +55,14 @@
 
 UserAnswer JobRequests::final_answer(JobId id, FinalState state) const {
   return {200, 0, protocol::job_state_json(id, bookkeeping::to_text(state)),
-          state == FinalState::kWithdrawn ? std::optional(id) : std::nullopt};
+          state == FinalState::kCancelled ? std::optional(id) : std::nullopt};
 }
 
 void JobRequests::answer_known(JobId id, const JobLookup::Known& known, const UserAnswer& never,
                                const Reply& reply) {
   switch (known.what) {
     case JobLookup::Known::What::kLive: {
-      const auto job = JobLedger::from_record(known.live.value, known.live.stamp, core_.now.steady);
+      const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
       if (!job) return reply(busy("the record can't be read"));
       return reply({200, 0, protocol::job_poll_json(id, n::kStateQueued, job->done_count, 0), std::nullopt});
     }
@@ -137,7 +137,7 @@
       verdict.unfinished.push_back(id);
       return;
     case JobLookup::Known::What::kFinal:
-      verdict.cancelled = verdict.cancelled || known.state == FinalState::kWithdrawn;
+      verdict.cancelled = verdict.cancelled || known.state == FinalState::kCancelled;
       return;
     case JobLookup::Known::What::kNever:
       verdict.status = 422;
@@ -153,13 +153,13 @@
 
 // A job that needs a cancelled one is accepted, and cancelled with it.
 void JobRequests::admit_cancelled(JobId id, const Reply& reply) {
-  core_.writer.submit({WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kWithdrawn)},
+  core_.writer.submit({WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
                        WriteOp{JobLedger::live_key(id), 0, std::nullopt, true}},
                       [this, id, reply](WriteOutcome outcome, std::uint64_t) {
                         if (outcome == WriteOutcome::kDone) {
-                          scheduler_.withdrawn_elsewhere(id);
+                          scheduler_.on_cancelled_elsewhere(id);
                           core_.metrics.count("jobs_accepted");
-                          auto answer = final_answer(id, FinalState::kWithdrawn);
+                          auto answer = final_answer(id, FinalState::kCancelled);
                           answer.status = 201;
                           return reply(answer);
                         }
@@ -213,12 +213,12 @@
   std::vector<WriteOp> ops{WriteOp{JobLedger::live_key(id), 0, std::move(record)},
                            WriteOp{JobLedger::final_key(id), 0, std::nullopt, true}};
   // A leader that did not write this itself learns of it by the notice.
-  const bool own_books = leading();
-  if (!own_books) ops.push_back(ChangeLog::entry(id, core_.incarnation, ++log_entries_, false));
+  const bool from_memory = leading();
+  if (!from_memory) ops.push_back(ChangeLog::entry(id, core_.incarnation, ++log_entries_, false));
   const auto submitted = draft.submitted_ms;
   const std::uint64_t term = election_.term();
-  core_.writer.submit(std::move(ops), [this, id, spec, submitted, own_books, term](WriteOutcome outcome,
-                                                                                   std::uint64_t stamp) {
+  core_.writer.submit(std::move(ops), [this, id, spec, submitted, from_memory, term](
+                                          WriteOutcome outcome, std::uint64_t mod_revision) {
     const auto found = admitting_.find(id);
     if (found == admitting_.end()) return;
     const auto replies = std::move(found->second);
@@ -227,14 +227,14 @@
       for (const auto& reply : replies) reply(answer);
     };
     if (outcome == WriteOutcome::kDone) {
-      if (own_books && leading() && election_.term() == term) {
+      if (from_memory && leading() && election_.term() == term) {
         // The answer may come after that to a cancellation which went another way.
         if (core_.jobs.find(id) == nullptr && !core_.jobs.final_state(id)) {
-          Job& job = core_.jobs.add(spec, stamp, submitted, core_.now.steady);
+          Job& job = core_.jobs.add(spec, mod_revision, submitted, core_.now.steady);
           scheduler_.job_added(job);
         }
       } else {
-        nudge_(id);
+        job_changed_(id);
       }
       core_.metrics.count("jobs_accepted");
       return all({201, 0, protocol::job_state_json(id, n::kStateQueued), std::nullopt});
@@ -257,12 +257,12 @@
   answer_from_records(id, std::move(reply));
 }
 
-// The leader's own state of the job is the answer, once no other controller can have told a user anything
-// newer: at once while all of them are in touch, else after a read of the change log, which all questions
-// that wait share. One read of the record for each question exhausted the state service's limit as soon as
-// one controller was away.
+// The leader's own state of the job is the answer, once no other controller can have announced a user
+// anything newer: at once while all of them are in touch, else after a read of the change log, which all
+// questions that wait share. One read of the record for each question exhausted the state service's limit as
+// soon as one controller was away.
 void JobRequests::answer_live(JobId id, Reply reply) {
-  if (core_.withdrawals.current(core_.now.steady)) return answer_from_memory(id, reply);
+  if (core_.cancellations.current(core_.now.steady)) return answer_from_memory(id, reply);
   scheduler_.change_log().after_fresh_read([this, id, reply = std::move(reply)](bool read) {
     if (!read || !leading()) return reply(busy("the state service does not answer"));
     answer_from_memory(id, reply);
@@ -279,7 +279,7 @@
 
 void JobRequests::answer_from_records(JobId id, Reply reply) {
   lookup_.state(id, [this, id, reply = std::move(reply)](const JobLookup::Known& known) {
-    // Its record, read since the question came, says that it is not withdrawn; the leader knows more of its
+    // Its record, read since the question came, says that it is not cancelled; the leader knows more of its
     // tasks.
     if (known.what == JobLookup::Known::What::kLive && leading())
       if (const Job* job = core_.jobs.find(id)) return reply(state_answer(200, *job));
@@ -295,7 +295,7 @@
     if (Job* job = core_.jobs.find(id)) {
       // Registered first: with a final state on its way the answer is whichever becomes durable.
       aborting_[id].push_back(std::move(reply));
-      scheduler_.withdraw(*job);
+      scheduler_.cancel(*job);
       return;
     }
   }
@@ -323,14 +323,14 @@
     if (known.what != JobLookup::Known::What::kLive)
       return answer_known(id, known, refuse(404, "no such job"), reply);
     core_.writer.submit(
-        {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kWithdrawn)},
-         WriteOp{JobLedger::live_key(id), known.live.stamp,
-                 JobLedger::withdrawn_record(known.live.value.get_object(), core_.now.wall_ms)},
+        {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
+         WriteOp{JobLedger::live_key(id), known.live.mod_revision,
+                 JobLedger::cancelled_record(known.live.value.get_object(), core_.now.wall_ms)},
          ChangeLog::entry(id, core_.incarnation, ++log_entries_, true)},
         [this, id, tries, reply](WriteOutcome outcome, std::uint64_t) {
           if (outcome == WriteOutcome::kDone) {
-            scheduler_.withdrawn_elsewhere(id);
-            return reply(final_answer(id, FinalState::kWithdrawn));
+            scheduler_.on_cancelled_elsewhere(id);
+            return reply(final_answer(id, FinalState::kCancelled));
           }
           if (outcome == WriteOutcome::kConflict) return abort_directly(id, tries - 1, reply);
           reply(busy("not written"));
--- a/src/coordination/job_requests.hpp
+++ b/src/coordination/job_requests.hpp
@@ -17,15 +17,15 @@
   int status = 503;
   int retry_after_s = 0;
   std::string body;
-  std::optional<protocol::JobId> withdrawn;  // the answer says that this job is withdrawn
+  std::optional<protocol::JobId> cancelled;  // the answer says that this job is cancelled
 };
 
 class JobRequests {
  public:
   using Reply = std::function<void(UserAnswer)>;
-  using Nudge = std::function<void(protocol::JobId)>;
+  using JobChanged = std::function<void(protocol::JobId)>;
   JobRequests(Core& core, Election& election, Scheduler& scheduler, const PeerVersions& versions,
-              Nudge nudge);
+              JobChanged job_changed);
 
   void submit(const std::string& body, Reply reply);
   void poll(protocol::JobId id, Reply reply);
@@ -64,7 +64,7 @@
   Scheduler& scheduler_;
   const PeerVersions& versions_;
   JobLookup& lookup_;
-  Nudge nudge_;
+  JobChanged job_changed_;
   std::uint64_t log_entries_ = 0;  // written to the change log by this process
   std::map<protocol::JobId, std::vector<Reply>> admitting_, aborting_;
 };
--- a/src/coordination/machine_liveness.cpp
+++ b/src/coordination/machine_liveness.cpp
@@ -111,23 +111,23 @@
   const double patience =
       std::max(c::kOverdueShare / 2 * cancel_s,
                std::min(std::max(c::kOverdueShare * cancel_s, lease), cancel_s - c::kOverdueLeadS));
-  const double told =
-      now - (job.withdrawn_ms > 0 ? std::max(0.0, (core_.now.wall_ms - job.withdrawn_ms) / 1000.0) : 0.0);
-  double limit = told + patience;
-  // A new leader hears of old withdrawals: each machine first gets the time of a round, or what is left of
+  const double announced =
+      now - (job.cancelled_ms > 0 ? std::max(0.0, (core_.now.wall_ms - job.cancelled_ms) / 1000.0) : 0.0);
+  double limit = announced + patience;
+  // A new leader hears of old cancellations: each machine first gets the time of a round, or what is left of
   // the time that the cancellation has. All of them were once given back in the moment when the ledger was
   // read.
   if (machine.unseen || machine.unanswered_since_ms) {
     const double round =
         began_ + 2 * (core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
-    const double last = told + cancel_s - c::kOverdueLastS;
+    const double last = announced + cancel_s - c::kOverdueLastS;
     limit = std::max(limit, last > now ? std::min(round, last) : round);
   }
   machine.overdue.emplace(job.spec.id, limit);
   overdue_.insert(machine.name);
 }
 
-// After a heartbeat: what of the withdrawn work is still on the machine, or may come there?
+// After a heartbeat: what of the cancelled work is still on the machine, or may come there?
 void Scheduler::check_cancelled_work_gone(Machine& machine) {
   if (machine.overdue.empty()) return;
   std::erase_if(machine.overdue, [&](const auto& entry) {
--- a/src/coordination/machine_records.cpp
+++ b/src/coordination/machine_records.cpp
@@ -35,7 +35,7 @@
   }
   std::erase_if(machines.groups(), [](const auto& entry) {
     const MachineGroup& group = entry.second;
-    return group.stamp == 0 && !group.writing && group.members.empty() && group.leaving.empty();
+    return group.mod_revision == 0 && !group.writing && group.members.empty() && group.leaving.empty();
   });
 }
 
@@ -62,26 +62,26 @@
       named.push_back(member);
   const auto urgency = group.urgent ? WriteClass::kFleet : WriteClass::kTidy;
   group.urgent = group.outdated = false;
-  if (named.empty() && group.stamp == 0) return;
+  if (named.empty() && group.mod_revision == 0) return;
   group.writing = true;
   group.last_write = core_.now.steady;
   // What is on record until the answer is known to be what both versions name.
   for (const auto& member : group.members)
     if (Machine* machine = machines.find(member); machine != nullptr && !addrs.contains(member))
       machine->recorded = false;
-  WriteOp op{MachineLedger::group_key(name), group.stamp, std::move(record)};
+  WriteOp op{MachineLedger::group_key(name), group.mod_revision, std::move(record)};
   if (named.empty()) op.value.reset();
   core_.writer.submit(
       {std::move(op)},
-      [this, name, addrs, named, generation = generation_](WriteOutcome outcome, std::uint64_t stamp) {
-        if (generation == generation_) group_written(name, addrs, named, outcome, stamp);
+      [this, name, addrs, named, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
+        if (generation == generation_) group_written(name, addrs, named, outcome, mod_revision);
       },
       urgency);
 }
 
 void Scheduler::group_written(const std::string& name, const std::map<std::string, std::string>& addrs,
                               const std::vector<std::string>& named, WriteOutcome outcome,
-                              std::uint64_t stamp) {
+                              std::uint64_t mod_revision) {
   auto& group = core_.machines.groups()[name];
   group.writing = false;
   if (outcome == WriteOutcome::kConflict) return election_.guard_lost();  // start over from the ledger
@@ -89,7 +89,7 @@
     group.urgent = true;
     return;
   }
-  group.stamp = named.empty() ? 0 : stamp;
+  group.mod_revision = named.empty() ? 0 : mod_revision;
   for (const auto& member : named)
     if (Machine* machine = core_.machines.find(member)) core_.machines.on_record(*machine, name);
   for (const auto& [member, addr] : addrs) {
--- a/src/coordination/peer_messages.cpp
+++ b/src/coordination/peer_messages.cpp
@@ -30,7 +30,7 @@
       peer.last_contact = now;
       versions_.heard(message.member, message.incarnation);
       election_.on_status(message);
-      core_.withdrawals.take_status(message, core_.incarnation);
+      core_.cancellations.take_status(message, core_.incarnation);
       unpark();
       break;
     }
@@ -85,10 +85,11 @@
       } else {
         const auto& heartbeat = waiting->second.heartbeat;
         if (message.status != 200)
-          told_.erase(heartbeat.machine);
-        else if (told_.size() < core_.per_machine(c::kToldPerMb) || told_.contains(heartbeat.machine))
-          told_[heartbeat.machine] = {message.member, message.term, heartbeat.agent_epoch, heartbeat.seq,
-                                      protocol::heartbeat_state(heartbeat)};
+          last_heartbeats_.erase(heartbeat.machine);
+        else if (last_heartbeats_.size() < core_.per_machine(c::kLastHeartbeatsPerMb) ||
+                 last_heartbeats_.contains(heartbeat.machine))
+          last_heartbeats_[heartbeat.machine] = {message.member, message.term, heartbeat.agent_epoch,
+                                                 heartbeat.seq, protocol::heartbeat_state(heartbeat)};
         answer_heartbeat(message.request, static_cast<int>(message.status), message.commands, message.term);
       }
       break;
@@ -115,8 +116,8 @@
             if (job && state->get_string() == n::kStateDone)
               core_.jobs.remember_final(*job, bookkeeping::FinalState::kDone);
             if (job && state->get_string() == n::kStateCancelled) {
-              scheduler_.withdrawn_elsewhere(*job);
-              tell_withdrawn(*job);  // the leader may tell, and here it does
+              scheduler_.on_cancelled_elsewhere(*job);
+              announce_cancellation(*job);  // the leader may announce, and here it does
             }
           }
         }
@@ -124,12 +125,12 @@
              message.body);
       break;
     }
-    case PeerKind::kNudge:
+    case PeerKind::kJobChanged:
       if (scheduler_.knows_all_jobs()) scheduler_.read_job(message.job);
       break;
-    case PeerKind::kTold:
-      for (const auto job : message.jobs) scheduler_.withdrawn_elsewhere(job);
-      core_.withdrawals.take_told(message);
+    case PeerKind::kCancellationsAnnounced:
+      for (const auto job : message.jobs) scheduler_.on_cancelled_elsewhere(job);
+      core_.cancellations.take_announced(message);
       break;
     case PeerKind::kQuota:
       return quota_leases_.take(message.member, message.incarnation, message.body);
@@ -216,8 +217,8 @@
     message.leading = election_.role() == Role::kLeading || election_.role() == Role::kCaretaker;
     message.ready = scheduler_.knows_all_jobs();
     message.state_ok = core_.state.reachable(core_.now.steady);
-    if (auto told = core_.withdrawals.unacknowledged(member)) send(member, std::move(*told));
-    core_.withdrawals.sign(member, core_.now.steady, message);
+    if (auto announced = core_.cancellations.unacknowledged(member)) send(member, std::move(*announced));
+    core_.cancellations.sign(member, core_.now.steady, message);
     send(member, std::move(message));
   }
 }
--- a/src/coordination/peer_versions.cpp
+++ b/src/coordination/peer_versions.cpp
@@ -72,11 +72,12 @@
     record[kLevel] = c::kFeatureLevel;
     record[kIncarnation] = core_.incarnation;
     if (offers_quota_leases_) record[kQuotaLeases] = true;
-    core_.writer.submit({{key, read.stamp, std::move(record)}}, [this](WriteOutcome outcome, std::uint64_t) {
-      busy_ = false;
-      registered_ = outcome == WriteOutcome::kDone;
-      next_look_ = core_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
-    });
+    core_.writer.submit({{key, read.mod_revision, std::move(record)}},
+                        [this](WriteOutcome outcome, std::uint64_t) {
+                          busy_ = false;
+                          registered_ = outcome == WriteOutcome::kDone;
+                          next_look_ = core_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
+                        });
   });
 }
 
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -148,7 +148,7 @@
                        return lessor_.loading_failed();
                      }
                      for (const auto& item : page->items)
-                       loading_.push_back({item.key, item.stamp, item.value});
+                       loading_.push_back({item.key, item.mod_revision, item.value});
                      if (page->more && !page->items.empty()) return load_page(page->items.back().key);
                      lessor_.loaded(std::exchange(loading_, {}), core_.now.steady);
                    });
@@ -162,10 +162,10 @@
   const std::string key = due.key;
   core_.writer.submit(
       {WriteOp{key, due.expect, std::move(due.value)}},
-      [this, key, generation = generation_](WriteOutcome outcome, std::uint64_t stamp) {
+      [this, key, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
         if (outcome == WriteOutcome::kDone)
-          lessor_.written(key, stamp);
+          lessor_.written(key, mod_revision);
         else if (outcome != WriteOutcome::kLost)
           lessor_.not_written(key, outcome == WriteOutcome::kConflict);
       },
--- a/src/coordination/reports.cpp
+++ b/src/coordination/reports.cpp
@@ -65,7 +65,7 @@
   }
   if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
                             !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
-    // A late copy: it renews nothing. Or the machine was born again, which only a question can tell.
+    // A late copy: it renews nothing. Or the machine was born again, which only a question can announce.
     doubt(*machine);
     return actions_.answer(key, 503, {});
   }
--- a/src/coordination/request_routing.cpp
+++ b/src/coordination/request_routing.cpp
@@ -80,13 +80,13 @@
   message.kind = PeerKind::kHeartbeat;
   message.request = key;
   message.heartbeat = waiting.heartbeat;
-  const auto told = told_.find(waiting.heartbeat.machine);
-  if (told != told_.end() && !waiting.in_full && told->second.leader == member &&
-      told->second.term == waiting.heartbeat.fencing_token &&
-      told->second.agent_epoch == waiting.heartbeat.agent_epoch && told->second.seq < waiting.heartbeat.seq &&
-      told->second.state == protocol::heartbeat_state(waiting.heartbeat)) {
+  const auto last = last_heartbeats_.find(waiting.heartbeat.machine);
+  if (last != last_heartbeats_.end() && !waiting.in_full && last->second.leader == member &&
+      last->second.term == waiting.heartbeat.fencing_token &&
+      last->second.agent_epoch == waiting.heartbeat.agent_epoch && last->second.seq < waiting.heartbeat.seq &&
+      last->second.state == protocol::heartbeat_state(waiting.heartbeat)) {
     message.kind = PeerKind::kUnchangedHeartbeat;
-    message.base_seq = told->second.seq;
+    message.base_seq = last->second.seq;
   }
   send(member, std::move(message));
 }
@@ -154,9 +154,9 @@
 }
 
 void Controller::answer_user(std::uint64_t key, const UserAnswer& reply) {
-  if (!reply.withdrawn) return answer(key, reply.status, reply.retry_after_s, reply.body);
-  tell_withdrawn(*reply.withdrawn);
-  if (!election_.may_tell_withdrawn(*reply.withdrawn)) {
+  if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
+  announce_cancellation(*reply.cancelled);
+  if (!election_.may_announce_cancellation(*reply.cancelled)) {
     core_.metrics.count("withdrawals_not_told_yet");
     return answer(key, 503, c::kRetryAfterS,
                   protocol::error_json("it is withdrawn, and another controller has yet to hear of it"));
@@ -167,12 +167,12 @@
 // All hear of it before the user does: whoever leads, or is about to, must not answer anything older, and
 // whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it says that
 // it knows.
-void Controller::tell_withdrawn(protocol::JobId id) {
-  if (!core_.withdrawals.tell(id)) return;
+void Controller::announce_cancellation(protocol::JobId id) {
+  if (!core_.cancellations.announce(id)) return;
   for (const auto& [member, peer] : peers_) {
     PeerMessage message;
-    message.kind = PeerKind::kTold;
-    message.first = core_.withdrawals.told();
+    message.kind = PeerKind::kCancellationsAnnounced;
+    message.first = core_.cancellations.announced();
     message.jobs = {id};
     send(member, std::move(message));
     flush(member);
--- a/src/coordination/scheduler.cpp
+++ b/src/coordination/scheduler.cpp
@@ -50,9 +50,9 @@
       versions_(versions),
       actions_(std::move(actions)),
       change_log_(core, election,
-                  {[this](protocol::JobId id) { withdrawn_elsewhere(id); },
+                  {[this](protocol::JobId id) { on_cancelled_elsewhere(id); },
                    [this](protocol::JobId id) { read_job(id); }, [this] { election_.guard_lost(); }}),
-      lookup_(core, [this](protocol::JobId id) { withdrawn_elsewhere(id); }),
+      lookup_(core, [this](protocol::JobId id) { on_cancelled_elsewhere(id); }),
       dependencies_(
           core, lookup_,
           {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
@@ -266,7 +266,7 @@
     next_sweep_ = now + c::kSweepEveryS;
     if (unseen_dirty_) count_unseen();
     sweep_jobs();
-    change_log_.delete_leftovers();
+    change_log_.delete_uncollected();
   }
   if (phase_ == LeaderPhase::kServing) {
     // Holds lapse and waits end by time alone, so a quiet moment needs rounds too.
--- a/src/coordination/scheduler.hpp
+++ b/src/coordination/scheduler.hpp
@@ -80,14 +80,14 @@
   // The final record is durable (ours or another controller's): nothing of the job may start, all of it must
   // go.
   void job_over(bookkeeping::Job& job, bookkeeping::FinalState state);
-  void withdraw(bookkeeping::Job& job);
+  void cancel(bookkeeping::Job& job);
   // All that the job needs is durably done, or something that it needs is durably cancelled.
   void dependencies_done(bookkeeping::Job& job);
   void dependency_cancelled(bookkeeping::Job& job);
   // Another controller wrote about this job.
   void read_job(protocol::JobId id);
   // Another controller made a withdrawal durable.
-  void withdrawn_elsewhere(protocol::JobId id);
+  void on_cancelled_elsewhere(protocol::JobId id);
 
   // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
@@ -236,11 +236,11 @@
   void write_group(const std::string& name, bookkeeping::MachineGroup& group);
   void group_written(const std::string& name, const std::map<std::string, std::string>& addrs,
                      const std::vector<std::string>& named, bookkeeping::WriteOutcome outcome,
-                     std::uint64_t stamp);
+                     std::uint64_t mod_revision);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
-  bool leftovers_of(protocol::JobId id);
+  bool has_remaining_tasks(protocol::JobId id);
   double expected_duration(const bookkeeping::Job& job) const;
   void complete(bookkeeping::Job& job);
   void push_final(bookkeeping::Job& job);
@@ -272,7 +272,7 @@
   std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
-  std::set<std::string> overdue_;            // machines that may hold withdrawn work
+  std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
   std::deque<std::pair<double, protocol::JobSpec>> recent_gangs_;
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -41,7 +41,7 @@
   deaf_ = 0;
   queues_dirty_ = dirty_ = true;
   next_queues_ = next_survey_ = next_watch_ = next_sweep_ = next_tiers_ = 0;
-  core_.writer.set_guard("lead", election_.stamp(), [this] { election_.guard_lost(); });
+  core_.writer.set_guard("lead", election_.mod_revision(), [this] { election_.guard_lost(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
@@ -93,7 +93,7 @@
         if (generation != generation_) return;
         if (!page) return load_failed([this, after] { load_jobs(after); });
         for (const auto& item : page->items) {
-          auto job = JobLedger::from_record(item.value, item.stamp, core_.now.steady);
+          auto job = JobLedger::from_record(item.value, item.mod_revision, core_.now.steady);
           if (!job) {
             spdlog::error("the record {} makes no sense", item.key);
             continue;
@@ -115,7 +115,7 @@
         if (!page) return load_failed([this, after] { load_machines(after); });
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
-          if (!core_.machines.read_group(group, item.stamp, item.value, core_.now.steady,
+          if (!core_.machines.read_group(group, item.mod_revision, item.value, core_.now.steady,
                                          election_.records_since()))
             spdlog::error("the record {} makes no sense", item.key);
         }
@@ -174,13 +174,13 @@
   // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
   // one that hangs also after its lease.
   for (const auto& [id, job] : core_.jobs.all()) {
-    if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kWithdrawn) continue;
+    if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
     for (auto& [name, machine] : core_.machines.all())
       if ((machine.unseen || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
         expect_cancelled_work_gone(machine, *job);
   }
-  core_.withdrawals.notices_read(election_.last_renewed());
+  core_.cancellations.change_log_read(election_.last_renewed());
   const double round = core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   gather_until_ = core_.now.steady + (unseen_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
   spdlog::info("ledger read: {} jobs, {} machines", core_.jobs.all().size(), core_.machines.all().size());
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -98,11 +98,11 @@
 // ---- state service ----
 inline constexpr char kKey[] = "k";
 inline constexpr char kValue[] = "data";
-inline constexpr char kVersion[] = "stamp";
+inline constexpr char kModRevision[] = "stamp";
 inline constexpr char kRevision[] = "epoch";
 inline constexpr char kLease[] = "tenure";
-inline constexpr char kIf[] = "when";
-inline constexpr char kThen[] = "apply";
+inline constexpr char kConditions[] = "when";
+inline constexpr char kOperations[] = "apply";
 inline constexpr char kPut[] = "put";
 inline constexpr char kDelete[] = "drop";
 inline constexpr char kItems[] = "items";
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -191,10 +191,10 @@
   switch (m.kind) {
     case PeerKind::kStatus:
       put_varint(out, (m.leading ? 1u : 0u) | (m.ready ? 2u : 0u) | (m.state_ok ? 4u : 0u));
-      for (const auto value : {m.question, m.echo, m.echo_incarnation, m.told, m.taken})
+      for (const auto value : {m.probe, m.echo, m.echo_incarnation, m.announced, m.taken})
         put_varint(out, value);
       break;
-    case PeerKind::kTold:
+    case PeerKind::kCancellationsAnnounced:
       put_varint(out, m.first);
       put_varint(out, m.jobs.size());
       for (const auto job : m.jobs) put_varint(out, job);
@@ -211,7 +211,7 @@
       put_varint(out, m.retry_after_s);
       put_text(out, m.body);
       break;
-    case PeerKind::kNudge:
+    case PeerKind::kJobChanged:
       put_varint(out, m.job);
       break;
     case PeerKind::kHeartbeat:
@@ -260,13 +260,13 @@
   std::uint64_t flags = 0;
   switch (kind) {
     case static_cast<std::uint64_t>(PeerKind::kStatus):
-      good = take_number(in, flags) && flags < 8 && take_number(in, m.question) && take_number(in, m.echo) &&
-             take_number(in, m.echo_incarnation) && take_number(in, m.told) && take_number(in, m.taken);
+      good = take_number(in, flags) && flags < 8 && take_number(in, m.probe) && take_number(in, m.echo) &&
+             take_number(in, m.echo_incarnation) && take_number(in, m.announced) && take_number(in, m.taken);
       m.leading = (flags & 1) != 0;
       m.ready = (flags & 2) != 0;
       m.state_ok = (flags & 4) != 0;
       break;
-    case static_cast<std::uint64_t>(PeerKind::kTold):
+    case static_cast<std::uint64_t>(PeerKind::kCancellationsAnnounced):
       good = take_number(in, m.first) && m.first > 0 && take_numbers(in, m.jobs);
       break;
     case static_cast<std::uint64_t>(PeerKind::kForward):
@@ -277,7 +277,7 @@
       good = take_number(in, m.request) && take_number(in, m.status) && take_number(in, m.retry_after_s) &&
              take_text(in, m.body);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kNudge):
+    case static_cast<std::uint64_t>(PeerKind::kJobChanged):
       good = take_number(in, m.job);
       break;
     case static_cast<std::uint64_t>(PeerKind::kHeartbeat):
--- a/src/protocol/peer_codec.hpp
+++ b/src/protocol/peer_codec.hpp
@@ -15,14 +15,14 @@
   kStatus = 1,
   kForward = 2,  // a user's request
   kAnswer = 3,   // its answer
-  kNudge = 4,
-  kHeartbeat = 5,           // a worker's heartbeat in full
-  kUnchangedHeartbeat = 6,  // a worker's heartbeat that changes nothing since the one named
-  kCommands = 7,            // the answer to either
-  kAsk = 8,                 // put a direct question to a worker for me
-  kAsked = 9,               // what it said
-  kTold = 10,               // withdrawals that the sender's users were told of
-  kQuota = 11,              // of quota leases; its body has a codec of its own
+  kJobChanged = 4,
+  kHeartbeat = 5,                // a worker's heartbeat in full
+  kUnchangedHeartbeat = 6,       // a worker's heartbeat that changes nothing since the one named
+  kCommands = 7,                 // the answer to either
+  kAsk = 8,                      // put a direct probe to a worker for me
+  kAsked = 9,                    // what it said
+  kCancellationsAnnounced = 10,  // cancellations that the sender's users were announced of
+  kQuota = 11,                   // of quota leases; its body has a codec of its own
 };
 
 // One message; which fields carry meaning depends on the kind.
@@ -32,22 +32,22 @@
   std::uint64_t incarnation = 0;  // sender's process, drawn at its start
   std::uint64_t term = 0;         // highest term the sender knows
   // kStatus
-  bool leading = false;        // the sender holds a valid lease for `term`
-  bool ready = false;          // a leader that has its ledger loaded
-  bool state_ok = false;       // the state service answered the sender lately
-  std::uint64_t question = 0;  // the moment of sending, for the receiver to echo
+  bool leading = false;     // the sender holds a valid lease for `term`
+  bool ready = false;       // a leader that has its ledger loaded
+  bool state_ok = false;    // the state service answered the sender lately
+  std::uint64_t probe = 0;  // the moment of sending, for the receiver to echo
   std::uint64_t echo = 0,
-                echo_incarnation = 0;  // the receiver's last question, and the process that asked it
-  std::uint64_t told = 0;              // withdrawals that the sender's process has told users of, up to now
-  std::uint64_t taken = 0;  // of the receiver's (of the process named above), those that the sender knows
-  // kTold: the number of the first, and the jobs
+                echo_incarnation = 0;  // the receiver's last probe, and the process that asked it
+  std::uint64_t announced = 0;  // cancellations that the sender's process has announced users of, up to now
+  std::uint64_t taken = 0;      // of the receiver's (of the process named above), those that the sender knows
+  // kCancellationsAnnounced: the number of the first, and the jobs
   std::uint64_t first = 0;
   std::vector<std::uint64_t> jobs;
   // kForward and kAnswer; of kQuota the body
   std::uint64_t request = 0;
   std::string method, target, body;
   std::uint64_t status = 0, retry_after_s = 0;
-  // kNudge: a job that the sender wrote into the ledger itself
+  // kJobChanged: a job that the sender wrote into the ledger itself
   std::uint64_t job = 0;
   // kHeartbeat, kAsked: what the worker says. kUnchangedHeartbeat: only its machine, agent_epoch, count and
   // token.
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -55,26 +55,26 @@
 
 void LeaseLedger::lower_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
-  // What is promised stays, whatever the lessee says: its grants may have been told before.
+  // What is promised stays, whatever the lessee says: its grants may have been announced before.
   const Amount lower = larger(part.promised, smaller(part.size, size));
   change_exposure(team, lower - part.size);
   part.size = lower;
   part.keep = smaller(part.keep, lower);
 }
 
-bool LeaseLedger::add_grant(const std::string& member, const GrantNotice& notice, std::uint32_t running,
+bool LeaseLedger::add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running,
                             double now) {
-  if (grants_.contains(notice.job) || notice.tasks == 0 || notice.each.is_zero()) return false;
+  if (grants_.contains(new_grant.job) || new_grant.tasks == 0 || new_grant.each.is_zero()) return false;
   auto* lease = find(member);
   if (lease == nullptr) return false;
-  const auto found = lease->parts.find(notice.team);
+  const auto found = lease->parts.find(new_grant.team);
   if (found == lease->parts.end()) return false;
   auto& part = found->second;
-  const Amount need = notice.each * notice.tasks;
+  const Amount need = new_grant.each * new_grant.tasks;
   if (!covers(part.size, part.promised + need)) return false;
   part.promised += need;
-  auto& grant = grants_[notice.job];
-  grant = {member, notice.team, notice.tasks, notice.each, running, now, false};
+  auto& grant = grants_[new_grant.job];
+  grant = {member, new_grant.team, new_grant.tasks, new_grant.each, running, now, false};
   set_covered(grant, 0);
   return true;
 }
@@ -94,9 +94,9 @@
   if (grant.tasks == 0) grants_.erase(found);
 }
 
-void LeaseLedger::refuse(const std::string& member, const GrantNotice& notice) {
+void LeaseLedger::refuse(const std::string& member, const NewGrant& new_grant) {
   auto& lease = leases_.at(member);
-  lease.refunds.push_back({++lease.refunds_made, notice.job, notice.tasks});
+  lease.refunds.push_back({++lease.refunds_made, new_grant.job, new_grant.tasks});
 }
 
 void LeaseLedger::acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken) {
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -31,7 +31,7 @@
   Amount size, promised, covered;
   Amount demand;
   std::uint32_t slice = 0;  // of the durable record in which it stands
-  bool durable = false;     // the present revision is on record, so that the lessee may be told
+  bool durable = false;     // the present revision is on record, so that the lessee may be announced
   double grown_at = 0;
   Amount keep;  // what it should shrink to; `size` when nothing is recalled
   Amount idle() const { return size - promised; }
@@ -40,8 +40,8 @@
 struct LeaseEntry {
   std::uint64_t epoch = 0, incarnation = 0;
   double ends_at = 0;  // steady; no earlier by the lessee's clock, whatever it drifts
-  bool in_session = false;
-  std::uint64_t last_question = 0;  // of its holder: earlier ones are late copies
+  bool synchronized = false;
+  std::uint64_t last_probe = 0;  // of its holder: earlier ones are late copies
   std::uint64_t grants_taken = 0, refunds_made = 0;
   std::deque<Refund> refunds;  // made, and not acknowledged yet
   std::map<std::string, PartEntry> parts;
@@ -68,11 +68,11 @@
   void lower_part(const std::string& member, const std::string& team, const Amount& size);
 
   // False, and nothing changes: the part does not cover it, or the job is granted already.
-  bool add_grant(const std::string& member, const GrantNotice& notice, std::uint32_t running, double now);
+  bool add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running, double now);
   // So many tasks are not promised any more; queued for the lessee.
   void refund(protocol::JobId job, std::uint32_t tasks);
   // A grant that was not taken in is refunded as it came.
-  void refuse(const std::string& member, const GrantNotice& notice);
+  void refuse(const std::string& member, const NewGrant& new_grant);
   void acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken);
   void running_changed(protocol::JobId job, std::int64_t by, double now);
   void seen_live(protocol::JobId job);
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -30,7 +30,7 @@
   state_ = state;
 }
 
-std::optional<GrantNotice> Lessee::grant(const protocol::JobSpec& spec, double now) {
+std::optional<NewGrant> Lessee::grant(const protocol::JobSpec& spec, double now) {
   // A job that waits for others would hold capacity that it can't use yet.
   if (!spec.dependencies.empty() || grants_.contains(spec.id)) return std::nullopt;
   const Amount each = rounded_up(spec.cpus, spec.gpus);
@@ -65,9 +65,9 @@
 
 LesseeMessage Lessee::renewal(double now) {
   LesseeMessage message;
-  message.session = session_;
+  message.lessor_incarnation = lessor_incarnation_;
   message.epoch = epoch_;
-  message.question = question_at(now);
+  message.probe = probe_time(now);
   message.refunds_taken = refunds_taken_;
   message.with_parts = true;
   for (const auto& grant : unacknowledged_) {
@@ -77,7 +77,7 @@
   }
   for (const auto& [team, part] : parts_)
     message.parts.push_back({team, part.revision, part.size, demand(team, now)});
-  for (const auto& [team, asked] : demands_)
+  for (const auto& [team, demand_sum] : demands_)
     if (!parts_.contains(team)) message.parts.push_back({team, 0, {}, demand(team, now)});
   return message;
 }
@@ -85,7 +85,7 @@
 std::optional<LesseeMessage> Lessee::new_grants() {
   if (grants_sent_ >= grants_made_) return std::nullopt;
   LesseeMessage message;
-  message.session = session_;
+  message.lessor_incarnation = lessor_incarnation_;
   message.epoch = epoch_;
   message.refunds_taken = refunds_taken_;
   for (const auto& grant : unacknowledged_)
@@ -98,7 +98,8 @@
 
 bool Lessee::take(const LessorMessage& message, double now) {
   // Late words of an earlier leader, or for an earlier process of this member.
-  if (message.incarnation != incarnation_ || message.session < session_ || message.epoch < epoch_)
+  if (message.incarnation != incarnation_ || message.lessor_incarnation < lessor_incarnation_ ||
+      message.epoch < epoch_)
     return false;
   bool answer_at_once = false;
   if (message.epoch != epoch_) {
@@ -107,17 +108,17 @@
     epoch_ = message.epoch;
     answer_at_once = true;
   }
-  if (message.session != session_) {
-    start_session(message.session);
+  if (message.lessor_incarnation != lessor_incarnation_) {
+    start_lessor_incarnation(message.lessor_incarnation);
     answer_at_once = true;
   }
   while (!unacknowledged_.empty() && unacknowledged_.front().number <= message.grants_taken)
     unacknowledged_.pop_front();
   for (const auto& refund : message.refunds) take_refund(refund);
   for (const auto& part : message.parts) answer_at_once = take_part(part, now) || answer_at_once;
-  const double asked_at = static_cast<double>(message.question) / c::kMsPerS;
-  if (message.question != 0 && asked_at >= reset_at_) {
-    const double until = asked_at + options_.ttl_s * (1 - c::kClockDrift) - c::kLeaseMarginS;
+  const double probed_at = static_cast<double>(message.probe) / c::kMsPerS;
+  if (message.probe != 0 && probed_at >= reset_at_) {
+    const double until = probed_at + options_.ttl_s * (1 - c::kClockDrift) - c::kLeaseMarginS;
     valid_until_ = std::max(valid_until_, until);
     if (now < valid_until_) set_state(LesseeState::kHolding);
   }
@@ -140,9 +141,10 @@
   grants_made_ = grants_sent_ = refunds_taken_ = 0;
 }
 
-// A leader that took over knows none of the grants: all outstanding ones are told again, under new numbers.
-void Lessee::start_session(std::uint64_t session) {
-  session_ = session;
+// A leader that took over knows none of the grants: all outstanding ones are announced again, under new
+// numbers.
+void Lessee::start_lessor_incarnation(std::uint64_t lessor_incarnation) {
+  lessor_incarnation_ = lessor_incarnation;
   unacknowledged_.clear();
   grants_made_ = grants_sent_ = refunds_taken_ = 0;
   for (const auto& [job, grant] : grants_)
@@ -179,9 +181,9 @@
 }
 
 void Lessee::note_demand(const std::string& team, const Amount& amount, double now) {
-  auto& asked = demands_[team];
-  asked.sum = demand(team, now) + amount;
-  asked.at = now;
+  auto& demand_sum = demands_[team];
+  demand_sum.sum = demand(team, now) + amount;
+  demand_sum.at = now;
   if (const auto part = parts_.find(team); part != parts_.end()) part->second.busy_at = now;
 }
 
@@ -193,8 +195,8 @@
   return {decayed(found->second.sum.cpus), decayed(found->second.sum.gpus)};
 }
 
-// 0 means that nothing is asked, so the moment is never 0.
-std::uint64_t Lessee::question_at(double now) const {
+// 0 means that nothing is demand_sum, so the moment is never 0.
+std::uint64_t Lessee::probe_time(double now) const {
   return static_cast<std::uint64_t>(std::max(1.0, std::floor(now * c::kMsPerS)));
 }
 
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -21,7 +21,7 @@
 
 enum class LesseeState : std::uint8_t {
   kNone,     // no lease
-  kHolding,  // has a lease; whether it is still valid is a question of the moment
+  kHolding,  // has a lease; whether it is still valid is a probe of the moment
   kExpired,  // the lease was over when it was last looked at; it may be renewed while the lessor keeps it
 };
 const char* to_text(LesseeState state);
@@ -48,7 +48,7 @@
 
   // Promises capacity to a job that was just submitted: all tasks of a gang or none, of an array as many as
   // the part covers. The same job asked for again gets nothing new.
-  std::optional<GrantNotice> grant(const protocol::JobSpec& spec, double now);
+  std::optional<NewGrant> grant(const protocol::JobSpec& spec, double now);
   // Returns idle capacity that nobody asked for lately. To be called now and then.
   void tick(double now);
   // A renewal: all parts and demands, and all grants that the lessor has not acknowledged.
@@ -85,24 +85,24 @@
     double at = 0;
   };
   void set_state(LesseeState state);
-  void start_session(std::uint64_t session);
+  void start_lessor_incarnation(std::uint64_t lessor_incarnation);
   void forget_lease();
   void take_refund(const Refund& refund);
   bool take_part(const OfferedPart& offered, double now);
   void note_demand(const std::string& team, const Amount& amount, double now);
   Amount demand(const std::string& team, double now) const;
-  std::uint64_t question_at(double now) const;
+  std::uint64_t probe_time(double now) const;
 
   const LeaseOptions options_;
   const std::uint64_t incarnation_;
   LesseeState state_ = LesseeState::kNone;
   std::uint64_t epoch_ = 0;
-  std::uint64_t session_ = 0;
+  std::uint64_t lessor_incarnation_ = 0;
   double valid_until_ = -1e9;
   double reset_at_ = -1e9;  // echoes of earlier questions renew nothing
   std::map<std::string, Part> parts_;
   std::map<protocol::JobId, Grant> grants_;
-  std::deque<GrantNotice> unacknowledged_;
+  std::deque<NewGrant> unacknowledged_;
   std::uint64_t grants_made_ = 0, grants_sent_ = 0, refunds_taken_ = 0;
   std::map<std::string, Demand> demands_;
   Counters counters_;
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -48,7 +48,7 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_tell_.clear();
+  to_notify_.clear();
   recalled_.clear();
   beyond_limit_.clear();
   reload_ = true;
@@ -60,7 +60,7 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_tell_.clear();
+  to_notify_.clear();
   reload_ = false;
 }
 
@@ -119,47 +119,49 @@
     lease = nullptr;
   }
   if (lease == nullptr) lease = &open_lease(member, incarnation, now);
-  const bool same_session = message.epoch == lease->epoch && message.session == session_;
-  // A late copy: it must not begin the session anew, or what either side says in it is not understood any
-  // more.
-  if (message.question != 0 && message.question <= lease->last_question) return std::nullopt;
-  if (!same_session) {
-    if (message.question == 0) return std::nullopt;
-    // It learns lease and session from the answer, and then tells its grants anew. Nothing is renewed before.
-    lease->last_question = message.question;
-    lease->in_session = false;
+  const bool same_incarnation =
+      message.epoch == lease->epoch && message.lessor_incarnation == lessor_incarnation_;
+  // A late copy: it must not begin the lessor_incarnation anew, or what either side says in it is not
+  // understood any more.
+  if (message.probe != 0 && message.probe <= lease->last_probe) return std::nullopt;
+  if (!same_incarnation) {
+    if (message.probe == 0) return std::nullopt;
+    // It learns lease and lessor_incarnation from the answer, and then tells its grants anew. Nothing is
+    // renewed before.
+    lease->last_probe = message.probe;
+    lease->synchronized = false;
     lease->grants_taken = lease->refunds_made = 0;
     lease->refunds.clear();
     return message_to(member, 0);
   }
-  lease->in_session = true;
+  lease->synchronized = true;
   ledger_.acknowledged(*lease, message.refunds_taken);
   take_grants(member, *lease, message, now);
   if (message.with_parts) take_parts(member, *lease, message, now);
-  if (message.question == 0) return std::nullopt;
-  lease->last_question = message.question;
+  if (message.probe == 0) return std::nullopt;
+  lease->last_probe = message.probe;
   lease->ends_at = lease_end(now);
-  to_tell_.erase(member);
-  return message_to(member, message.question);
+  to_notify_.erase(member);
+  return message_to(member, message.probe);
 }
 
 void Lessor::take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
                          double now) {
   // A lessee that takes none of its refunds gets no further grants.
   if (lease.refunds.size() >= c::kGrantsMost) return;
-  for (const auto& notice : message.grants) {
-    if (notice.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
+  for (const auto& new_grant : message.grants) {
+    if (new_grant.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
     ++lease.grants_taken;
-    const auto view = ledgers_.job(notice.job);
+    const auto view = ledgers_.job(new_grant.job);
     const bool over = view.state == JobView::State::kOver;
-    if (over || !ledger_.add_grant(member, notice, view.placed, now)) {
+    if (over || !ledger_.add_grant(member, new_grant, view.placed, now)) {
       ++counters_.grants_refused;
-      ledger_.refuse(member, notice);
-      to_tell_.insert(member);
+      ledger_.refuse(member, new_grant);
+      to_notify_.insert(member);
       continue;
     }
     ++counters_.grants_taken;
-    claims_.settled(notice.team, notice.job);
+    claims_.settled(new_grant.team, new_grant.job);
   }
 }
 
@@ -183,19 +185,19 @@
   }
 }
 
-LessorMessage Lessor::message_to(const std::string& member, std::uint64_t question) {
+LessorMessage Lessor::message_to(const std::string& member, std::uint64_t probe) {
   const auto& lease = *ledger_.find(member);
   LessorMessage message;
   message.incarnation = lease.incarnation;
-  message.session = session_;
+  message.lessor_incarnation = lessor_incarnation_;
   message.epoch = lease.epoch;
-  message.question = question;
+  message.probe = probe;
   message.grants_taken = lease.grants_taken;
   for (const auto& refund : lease.refunds) {
     if (message.refunds.size() >= c::kGrantsPerMessage) break;
     message.refunds.push_back(refund);
   }
-  if (lease.in_session)
+  if (lease.synchronized)
     for (const auto& [team, part] : lease.parts)
       if (part.durable) message.parts.push_back({team, part.revision, part.size, part.keep});
   return message;
@@ -203,11 +205,11 @@
 
 std::vector<std::pair<std::string, LessorMessage>> Lessor::take_messages() {
   std::vector<std::pair<std::string, LessorMessage>> messages;
-  for (const auto& member : to_tell_) {
+  for (const auto& member : to_notify_) {
     const auto* lease = ledger_.find(member);
-    if (lease != nullptr && lease->in_session) messages.emplace_back(member, message_to(member, 0));
+    if (lease != nullptr && lease->synchronized) messages.emplace_back(member, message_to(member, 0));
   }
-  to_tell_.clear();
+  to_notify_.clear();
   return messages;
 }
 
@@ -266,7 +268,7 @@
   }
   if (needed >= grant.tasks) return;
   ++counters_.refunds;
-  to_tell_.insert(grant.member);
+  to_notify_.insert(grant.member);
   ledger_.refund(job, grant.tasks - needed);
 }
 
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -1,9 +1,9 @@
 // The lessor: hands parts of the teams' limits out to lessees, as long as this controller leads.
 //
 // Invariant, for each team and resource: what is or may be running, plus what outstanding leases still
-// permit, is at most the limit. A part is enlarged in memory first, then on record, and only then told to its
-// lessee; it is made smaller only by the lessee's word under the same revision, or once the lease is surely
-// over. What is unknown counts as taken.
+// permit, is at most the limit. A part is enlarged in memory first, then on record, and only then announced
+// to its lessee; it is made smaller only by the lessee's word under the same revision, or once the lease is
+// surely over. What is unknown counts as taken.
 #pragma once
 
 #include <boost/json.hpp>
@@ -44,14 +44,14 @@
 // A record as it was read.
 struct StoredLease {
   std::string key;
-  std::uint64_t stamp = 0;
+  std::uint64_t mod_revision = 0;
   boost::json::value value;
 };
 
-// A write that the caller carries out, conditional on leadership and on the stamp.
+// A write that the caller carries out, conditional on leadership and on the mod_revision.
 struct LeaseWrite {
   std::string key;
-  std::uint64_t expect = 0;                  // stamp that the key must have; 0: it must not exist
+  std::uint64_t expect = 0;                  // mod_revision that the key must have; 0: it must not exist
   std::optional<boost::json::object> value;  // nothing: delete it
 };
 
@@ -92,7 +92,7 @@
   std::vector<std::pair<std::string, LessorMessage>> take_messages();
   // Writes that are due, within the budget. Each is answered by one of the two below.
   std::vector<LeaseWrite> take_writes(double now);
-  void written(const std::string& key, std::uint64_t stamp);
+  void written(const std::string& key, std::uint64_t mod_revision);
   void not_written(const std::string& key, bool conflict);
   // A record was found changed: all have to be read again.
   bool needs_loading() const { return state_ == LessorState::kLoading && reload_; }
@@ -121,7 +121,7 @@
     bool unlimited = false;
   };
   struct Record {
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     bool in_flight = false, unreadable = false;
     double write_at = 1e300;                       // 1e300: nothing to write
     std::map<std::string, std::uint64_t> writing;  // revisions that stand in the write in flight
@@ -138,7 +138,7 @@
   void close_lease(const std::string& member, const char* why, double now);
   void take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message, double now);
   void take_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message, double now);
-  LessorMessage message_to(const std::string& member, std::uint64_t question);
+  LessorMessage message_to(const std::string& member, std::uint64_t probe);
 
   void expire_leases(double now);
   void settle_grants(double now);
@@ -160,14 +160,14 @@
   const LeaseOptions options_;
   Ledgers ledgers_;
   LessorState state_ = LessorState::kIdle;
-  std::uint64_t term_ = 0, epochs_ = 0, session_ = 0;
+  std::uint64_t term_ = 0, epochs_ = 0, lessor_incarnation_ = 0;
   double began_ = 0, now_ = 0, next_settle_ = 0;
   double unreadable_until_ = -1e9;  // until then a record that can't be read may stand for a lease
   bool reload_ = false;
   LeaseLedger ledger_;
   Claims claims_;
   std::map<std::string, Record> records_;  // by key
-  std::set<std::string> to_tell_;
+  std::set<std::string> to_notify_;
   std::set<std::string> recalled_;  // teams of which lessees were asked to give back
   std::set<std::string>
       beyond_limit_;  // teams of which more was leased by an earlier leader than the limit now is
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -16,7 +16,7 @@
       idle.emplace_back(job, grant.tasks - grant.running);
   for (const auto& [job, tasks] : idle) {
     counters_.revoked_tasks += tasks;
-    to_tell_.insert(ledger_.grant(job)->member);
+    to_notify_.insert(ledger_.grant(job)->member);
     ledger_.refund(job, tasks);
   }
 }
@@ -60,14 +60,14 @@
     part.keep = part.size - back;
     deficit -= back;
     ++counters_.recalls;
-    to_tell_.insert(member);
+    to_notify_.insert(member);
   }
 }
 
 void Lessor::grow(double now) {
   std::map<std::string, std::set<std::string>> wanting;  // members by team
   for (auto& [member, lease] : ledger_.leases()) {
-    if (!lease.in_session || now < lease.next_growth) continue;
+    if (!lease.synchronized || now < lease.next_growth) continue;
     lease.next_growth = now + options_.rebalance_s;
     for (const auto& [team, part] : lease.parts)
       if (!part.demand.is_zero() && (part.durable || part.revision == 0)) wanting[team].insert(member);
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -22,7 +22,7 @@
 // until it was one no more.
 void Lessor::loaded(const std::vector<StoredLease>& records, double now) {
   now_ = now;
-  session_ = next_epoch();
+  lessor_incarnation_ = next_epoch();
   ledger_.clear();
   records_.clear();
   std::map<std::string, std::vector<LeaseRecord>> by_member;
@@ -78,7 +78,7 @@
            stored.key.ends_with('/') || stored.key.size() - stored.key.rfind('/') > c::kSliceDigits)
     reason = "its key has no slice";
   if (reason.empty()) {
-    records_[stored.key].stamp = stored.stamp;
+    records_[stored.key].mod_revision = stored.mod_revision;
     by_member[record->member].push_back(*record);
     return;
   }
@@ -87,7 +87,7 @@
   spdlog::error("the record {} makes no sense: {}", stored.key, reason);
   unreadable_until_ = std::max(unreadable_until_, lease_end(now_));
   auto& entry = records_[stored.key];
-  entry.stamp = stored.stamp;
+  entry.mod_revision = stored.mod_revision;
   entry.unreadable = true;
   entry.write_at = lease_end(now_);
 }
@@ -139,30 +139,30 @@
     if (!write_budget_.covers(1)) break;
     record.write_at = kNever;
     auto value = record_value(key, record);
-    if (!value && record.stamp == 0) continue;  // there is nothing to delete
+    if (!value && record.mod_revision == 0) continue;  // there is nothing to delete
     record.in_flight = true;
     write_budget_.take(1);
     ++counters_.writes;
-    writes.push_back({key, record.stamp, std::move(value)});
+    writes.push_back({key, record.mod_revision, std::move(value)});
   }
   return writes;
 }
 
-void Lessor::written(const std::string& key, std::uint64_t stamp) {
+void Lessor::written(const std::string& key, std::uint64_t mod_revision) {
   const auto found = records_.find(key);
   if (state_ != LessorState::kServing || found == records_.end() || !found->second.in_flight) return;
   auto& record = found->second;
   record.in_flight = false;
   record.unreadable = false;
   const std::string member = member_of(key);
-  record.stamp = record.writing.empty() ? 0 : stamp;
+  record.mod_revision = record.writing.empty() ? 0 : mod_revision;
   auto* lease = ledger_.find(member);
   if (lease == nullptr) return;
   for (const auto& [team, revision] : record.writing) {
     const auto part = lease->parts.find(team);
     if (part == lease->parts.end() || part->second.revision != revision || part->second.durable) continue;
     part->second.durable = true;
-    to_tell_.insert(member);
+    to_notify_.insert(member);
   }
 }
 
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -72,7 +72,7 @@
 
 std::string encode(const LesseeMessage& message) {
   std::string out(1, kLesseeTag);
-  for (const auto value : {message.session, message.epoch, message.question, message.refunds_taken})
+  for (const auto value : {message.lessor_incarnation, message.epoch, message.probe, message.refunds_taken})
     put_varint(out, value);
   put_varint(out, message.grants.size());
   for (const auto& grant : message.grants) {
@@ -96,7 +96,7 @@
 std::string encode(const LessorMessage& message) {
   std::string out(1, kLessorTag);
   for (const auto value :
-       {message.incarnation, message.session, message.epoch, message.question, message.grants_taken})
+       {message.incarnation, message.lessor_incarnation, message.epoch, message.probe, message.grants_taken})
     put_varint(out, value);
   put_varint(out, message.refunds.size());
   for (const auto& refund : message.refunds) {
@@ -118,12 +118,12 @@
   Reader in(bytes);
   LesseeMessage message;
   in.tag(kLesseeTag);
-  message.session = in.number();
+  message.lessor_incarnation = in.number();
   message.epoch = in.number();
-  message.question = in.number();
+  message.probe = in.number();
   message.refunds_taken = in.number();
   for (auto left = in.count(); left > 0 && in.good(); --left) {
-    GrantNotice grant;
+    NewGrant grant;
     grant.number = in.number();
     grant.job = in.number();
     grant.team = in.text();
@@ -150,9 +150,9 @@
   LessorMessage message;
   in.tag(kLessorTag);
   message.incarnation = in.number();
-  message.session = in.number();
+  message.lessor_incarnation = in.number();
   message.epoch = in.number();
-  message.question = in.number();
+  message.probe = in.number();
   message.grants_taken = in.number();
   for (auto left = in.count(); left > 0 && in.good(); --left) {
     Refund refund;
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -1,9 +1,9 @@
 // What lessees (controllers that grant from a lease) and the lessor (the leader, which hands leases out) say
 // to each other, as the body of a peer frame.
 //
-// A *session* begins whenever a lessor reads the records of leases. Grants are numbered by the lessee and
-// refunds by the lessor, both from 1 within the session; each side repeats what the other one has not
-// acknowledged, so each takes effect once and in order.
+// A *lessor_incarnation* begins whenever a lessor reads the records of leases. Grants are numbered by the
+// lessee and refunds by the lessor, both from 1 within the lessor_incarnation; each side repeats what the
+// other one has not acknowledged, so each takes effect once and in order.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 namespace robinford::quota {
 
 // A promise that so many tasks of a job may run at once.
-struct GrantNotice {
+struct NewGrant {
   std::uint64_t number = 0;
   protocol::JobId job = 0;
   std::string team;
   std::uint32_t tasks = 0;
   Amount each;  // of one task
-  bool operator==(const GrantNotice&) const = default;
+  bool operator==(const NewGrant&) const = default;
 };
 
 // So many tasks of a grant are not promised any more.
@@ -54,21 +54,21 @@
 };
 
 struct LesseeMessage {
-  std::uint64_t session = 0;   // that the numbers belong to; 0: none yet
-  std::uint64_t epoch = 0;     // of the lease that it holds; 0: none
-  std::uint64_t question = 0;  // moment of sending, for the lessor to echo; 0: asks for nothing
+  std::uint64_t lessor_incarnation = 0;  // that the numbers belong to; 0: none yet
+  std::uint64_t epoch = 0;               // of the lease that it holds; 0: none
+  std::uint64_t probe = 0;               // moment of sending, for the lessor to echo; 0: asks for nothing
   std::uint64_t refunds_taken = 0;
   bool with_parts = false;  // `parts` are all that it holds or asks for
-  std::vector<GrantNotice> grants;
+  std::vector<NewGrant> grants;
   std::vector<HeldPart> parts;
   bool operator==(const LesseeMessage&) const = default;
 };
 
 struct LessorMessage {
-  std::uint64_t incarnation = 0;  // of the lessee that is meant
-  std::uint64_t session = 0;      // sessions are numbered like epochs: later ones have larger numbers
+  std::uint64_t incarnation = 0;         // of the lessee that is meant
+  std::uint64_t lessor_incarnation = 0;  // sessions are numbered like epochs: later ones have larger numbers
   std::uint64_t epoch = 0;
-  std::uint64_t question = 0;  // echo: renews the lease from that moment; 0: renews nothing
+  std::uint64_t probe = 0;  // echo: renews the lease from that moment; 0: renews nothing
   std::uint64_t grants_taken = 0;
   std::vector<Refund> refunds;
   std::vector<OfferedPart> parts;
--- a/tests/withdrawals_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,5 +1,5 @@
-// How far a leader knows what users were told: each way in which that knowledge could be dated too late.
-#include "coordination/withdrawals.hpp"
+// How far a leader knows what users were announced: each way in which that knowledge could be dated too late.
+#include "coordination/cancellations.hpp"
 
 #include <gtest/gtest.h>
 
@@ -25,95 +25,95 @@
 // One controller's part in this: what it sends is handed over by the test, or not.
 struct Member {
   explicit Member(const std::string& name, std::uint64_t incarnation_ = kStarted)
-      : name(name), incarnation(incarnation_), withdrawals(site(name)) {}
+      : name(name), incarnation(incarnation_), cancellations(site(name)) {}
   protocol::PeerMessage status_to(const Member& other, double now) {
     protocol::PeerMessage status;
     status.kind = protocol::PeerKind::kStatus;
     status.member = name;
     status.incarnation = incarnation;
-    withdrawals.sign(other.name, now, status);
+    cancellations.sign(other.name, now, status);
     return status;
   }
-  void hear(const protocol::PeerMessage& status) { withdrawals.take_status(status, incarnation); }
+  void hear(const protocol::PeerMessage& status) { cancellations.take_status(status, incarnation); }
   // All that the other has not acknowledged.
-  bool bring_told(Member& to) {
-    auto told = withdrawals.unacknowledged(to.name);
-    if (!told) return false;
-    told->member = name;
-    told->incarnation = incarnation;
-    to.withdrawals.take_told(*told);
+  bool deliver_announced(Member& to) {
+    auto announced = cancellations.unacknowledged(to.name);
+    if (!announced) return false;
+    announced->member = name;
+    announced->incarnation = incarnation;
+    to.cancellations.take_announced(*announced);
     return true;
   }
   std::string name;
   std::uint64_t incarnation;
-  Withdrawals withdrawals;
+  Cancellations cancellations;
 };
 
 struct ThreeMembers : ::testing::Test {
   Member a{"a"}, b{"b"}, c{"c"};
-  // A question of a at `asked`, answered by the other at `answered`.
-  void round_trip(Member& other, double asked, double answered) {
-    other.hear(a.status_to(other, asked));
+  // A probe of a at `sent`, answered by the other at `answered`.
+  void round_trip(Member& other, double sent, double answered) {
+    other.hear(a.status_to(other, sent));
     a.hear(other.status_to(a, answered));
   }
   void elect(double now) {
     round_trip(b, now - 1, now - 0.9);
     round_trip(c, now - 1, now - 0.9);
-    a.withdrawals.elected();
-    a.withdrawals.notices_asked(now);
-    a.withdrawals.notices_read(now);
-    a.withdrawals.renewed(now + 0.6);
+    a.cancellations.elected();
+    a.cancellations.change_log_requested(now);
+    a.cancellations.change_log_read(now);
+    a.cancellations.renewed(now + 0.6);
   }
-  double known(double now) { return a.withdrawals.known_up_to(now); }
+  double known(double now) { return a.cancellations.known_up_to(now); }
 };
 
-TEST_F(ThreeMembers, NothingIsKnownBeforeTheNoticesAreRead) {
-  a.withdrawals.elected();
+TEST_F(ThreeMembers, NothingIsKnownBeforeTheChangeLogIsRead) {
+  a.cancellations.elected();
   round_trip(b, 99, 99.1);
   round_trip(c, 99, 99.1);
   EXPECT_LT(known(100), 0);
-  a.withdrawals.notices_asked(100);
+  a.cancellations.change_log_requested(100);
   EXPECT_LT(known(101), 0);
-  a.withdrawals.notices_read(99.5);
+  a.cancellations.change_log_read(99.5);
   // The key was surely ours only up to the renewal.
   EXPECT_DOUBLE_EQ(known(101), 99.5);
 }
 
-TEST_F(ThreeMembers, QuestionsDateTheKnowledgeNotAnswers) {
+TEST_F(ThreeMembers, ProbesDateTheKnowledgeNotAnswers) {
   elect(100);
   round_trip(b, 110, 112);
   round_trip(c, 111, 113);
   EXPECT_DOUBLE_EQ(known(114), 110);
 }
 
-TEST_F(ThreeMembers, OneSilentMemberEndsIt) {
+TEST_F(ThreeMembers, OneUnresponsiveMemberEndsIt) {
   elect(100);
   for (int i = 0; i < 20; ++i) round_trip(b, 101 + i, 101.1 + i);
   EXPECT_DOUBLE_EQ(known(130), 100);
 }
 
-TEST_F(ThreeMembers, AToldWithdrawalThatWasLostStopsTheClockUntilItCame) {
+TEST_F(ThreeMembers, ALostAnnouncementStopsTheClockUntilItArrives) {
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  EXPECT_TRUE(b.withdrawals.tell(7));
-  EXPECT_FALSE(b.withdrawals.tell(7));
+  EXPECT_TRUE(b.cancellations.announce(7));
+  EXPECT_FALSE(b.cancellations.announce(7));
   round_trip(b, 110, 110.1);
   round_trip(c, 110, 110.1);
   EXPECT_DOUBLE_EQ(known(111), 101);
-  EXPECT_TRUE(b.bring_told(a));
+  EXPECT_TRUE(b.deliver_announced(a));
   round_trip(b, 112, 112.1);
   round_trip(c, 112, 112.1);
   EXPECT_DOUBLE_EQ(known(113), 112);
   round_trip(b, 113, 113.1);
-  EXPECT_FALSE(b.bring_told(a));  // acknowledged
+  EXPECT_FALSE(b.deliver_announced(a));  // acknowledged
 }
 
 TEST_F(ThreeMembers, AnotherProcessOfAMemberCannotVouchForTheOneBefore) {
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  b.withdrawals.tell(7);  // and ends
+  b.cancellations.announce(7);  // and ends
   Member again("b", kLater);
   for (double at : {110.0, 111.0, 112.0}) {
     round_trip(again, at, at + 0.1);
@@ -121,9 +121,9 @@
   }
   EXPECT_DOUBLE_EQ(known(113), 101);
   // The state service shows what the former process wrote.
-  a.withdrawals.notices_asked(114);
-  a.withdrawals.notices_read(114);
-  a.withdrawals.renewed(115);
+  a.cancellations.change_log_requested(114);
+  a.cancellations.change_log_read(114);
+  a.cancellations.renewed(115);
   round_trip(again, 116, 116.1);
   round_trip(c, 116, 116.1);
   EXPECT_DOUBLE_EQ(known(117), 116);
@@ -134,7 +134,7 @@
   round_trip(c, 101, 101.1);
   b.hear(a.status_to(b, 101));
   const auto held = b.status_to(a, 101.1);
-  b.withdrawals.tell(7);
+  b.cancellations.announce(7);
   a.hear(held);
   round_trip(c, 120, 120.1);
   a.hear(held);
@@ -151,66 +151,66 @@
   EXPECT_DOUBLE_EQ(known(110), 100);
 }
 
-TEST_F(ThreeMembers, NobodyTellsWhileALeaderMayAnswerFromBooksThatLackIt) {
+TEST_F(ThreeMembers, NobodyAnnouncesWhileALeaderMayAnswerFromMemoryThatLacksIt) {
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  EXPECT_TRUE(a.withdrawals.current(102.9));
-  EXPECT_FALSE(a.withdrawals.current(103.1));
+  EXPECT_TRUE(a.cancellations.current(102.9));
+  EXPECT_FALSE(a.cancellations.current(103.1));
   // Cut off since then: b tells only when a's books are surely not current any more.
   c.hear(b.status_to(c, 101.1));
-  b.withdrawals.tell(7);
-  EXPECT_FALSE(b.withdrawals.heard_by_all(7, 102));
-  EXPECT_FALSE(b.withdrawals.heard_by_all(7, 103.2));
-  EXPECT_TRUE(b.withdrawals.heard_by_all(7, 103.5));
+  b.cancellations.announce(7);
+  EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 102));
+  EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 103.2));
+  EXPECT_TRUE(b.cancellations.acknowledged_by_all(7, 103.5));
 }
 
-TEST_F(ThreeMembers, AnAcknowledgedWithdrawalIsToldAtOnce) {
+TEST_F(ThreeMembers, AnAcknowledgedCancellationIsAnnouncedAtOnce) {
   elect(100);
   round_trip(b, 101, 101.1);
   b.hear(c.status_to(b, 101));
   c.hear(b.status_to(c, 101.1));
-  b.withdrawals.tell(7);
-  EXPECT_FALSE(b.withdrawals.heard_by_all(7, 101.2));
-  EXPECT_TRUE(b.bring_told(a));
-  EXPECT_TRUE(b.bring_told(c));
+  b.cancellations.announce(7);
+  EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 101.2));
+  EXPECT_TRUE(b.deliver_announced(a));
+  EXPECT_TRUE(b.deliver_announced(c));
   b.hear(a.status_to(b, 101.3));
-  EXPECT_FALSE(b.withdrawals.heard_by_all(7, 101.4));
+  EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 101.4));
   b.hear(c.status_to(b, 101.3));
-  EXPECT_TRUE(b.withdrawals.heard_by_all(7, 101.4));
+  EXPECT_TRUE(b.cancellations.acknowledged_by_all(7, 101.4));
 }
 
 TEST_F(ThreeMembers, ANewProcessWaitsAsTheOneBeforeWouldHave) {
   Member again("b", kLater);
-  again.withdrawals.tell(7);
-  EXPECT_FALSE(again.withdrawals.heard_by_all(7, 50));
-  EXPECT_FALSE(again.withdrawals.heard_by_all(7, 52));
-  EXPECT_TRUE(again.withdrawals.heard_by_all(7, 52.3));
+  again.cancellations.announce(7);
+  EXPECT_FALSE(again.cancellations.acknowledged_by_all(7, 50));
+  EXPECT_FALSE(again.cancellations.acknowledged_by_all(7, 52));
+  EXPECT_TRUE(again.cancellations.acknowledged_by_all(7, 52.3));
 }
 
 TEST_F(ThreeMembers, WhatIsKeptIsBounded) {
-  for (std::uint64_t job = 1; job <= constants::kToldKept + 10; ++job) b.withdrawals.tell(job);
-  EXPECT_EQ(b.withdrawals.told(), constants::kToldKept + 10);
-  const auto first = b.withdrawals.unacknowledged("a");
+  for (std::uint64_t job = 1; job <= constants::kAnnouncedKept + 10; ++job) b.cancellations.announce(job);
+  EXPECT_EQ(b.cancellations.announced(), constants::kAnnouncedKept + 10);
+  const auto first = b.cancellations.unacknowledged("a");
   ASSERT_TRUE(first);
   EXPECT_EQ(first->first, 11u);
-  EXPECT_LE(first->jobs.size(), constants::kToldBatch);
-  // A leader that was never brought that far is not told that it was.
-  a.withdrawals.elected();
-  auto told = *first;
-  told.member = "b";
-  told.incarnation = kStarted;
-  a.withdrawals.take_told(told);
+  EXPECT_LE(first->jobs.size(), constants::kAnnouncedBatch);
+  // A leader that was never brought that far is not announced that it was.
+  a.cancellations.elected();
+  auto announced = *first;
+  announced.member = "b";
+  announced.incarnation = kStarted;
+  a.cancellations.take_announced(announced);
   a.hear(b.status_to(a, 10));
   EXPECT_LT(known(20), 0);
 }
 
-TEST(WithdrawalBound, FollowsFromTheSite) {
-  EXPECT_NEAR(Withdrawals(site("a", 10, 35)).answer_s(), 25 - constants::kToldMarginS, 0.1);
-  EXPECT_FALSE(Withdrawals(site("a", 44, 74)).strict());
-  EXPECT_DOUBLE_EQ(Withdrawals(site("a", 10, 1000)).answer_s(), constants::kCaretakerBoundS);
-  EXPECT_TRUE(Withdrawals(site("a", 30, 31)).strict());
-  EXPECT_TRUE(Withdrawals(site("a", 60, 30)).strict());
+TEST(AnswerBound, FollowsFromTheSite) {
+  EXPECT_NEAR(Cancellations(site("a", 10, 35)).answer_s(), 25 - constants::kCancellationMarginS, 0.1);
+  EXPECT_FALSE(Cancellations(site("a", 44, 74)).strict());
+  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kCaretakerBoundS);
+  EXPECT_TRUE(Cancellations(site("a", 30, 31)).strict());
+  EXPECT_TRUE(Cancellations(site("a", 60, 30)).strict());
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -30,8 +30,8 @@
 constexpr PeerKind kKinds[] = {PeerKind::kStatus,
                                PeerKind::kForward,
                                PeerKind::kAnswer,
-                               PeerKind::kTold,
-                               PeerKind::kNudge,
+                               PeerKind::kCancellationsAnnounced,
+                               PeerKind::kJobChanged,
                                PeerKind::kHeartbeat,
                                PeerKind::kUnchangedHeartbeat,
                                PeerKind::kCommands,
@@ -50,10 +50,10 @@
     m.method = "POST", m.target = "/x", m.body = std::string("{\"a\":\0}", 7), m.request = 9;
   if (kind == PeerKind::kAnswer) m.status = 503, m.retry_after_s = 2, m.body = "{}", m.request = 9;
   if (kind == PeerKind::kQuota) m.body = std::string("\x01\x00\xff", 3);
-  if (kind == PeerKind::kNudge) m.job = 412;
-  if (kind == PeerKind::kTold) m.first = 300, m.jobs = {412, 7, 100000};
+  if (kind == PeerKind::kJobChanged) m.job = 412;
+  if (kind == PeerKind::kCancellationsAnnounced) m.first = 300, m.jobs = {412, 7, 100000};
   if (kind == PeerKind::kStatus)
-    m.question = 77777, m.echo = 700, m.echo_incarnation = 1u << 30, m.told = 302, m.taken = 3;
+    m.probe = 77777, m.echo = 700, m.echo_incarnation = 1u << 30, m.announced = 302, m.taken = 3;
   if (kind == PeerKind::kHeartbeat || kind == PeerKind::kUnchangedHeartbeat || kind == PeerKind::kAsked) {
     m.request = 9, m.status = kind == PeerKind::kAsked ? 200 : 0;
     m.heartbeat.machine = "host-000231", m.heartbeat.agent_epoch = 3, m.heartbeat.seq = 700,
@@ -88,7 +88,7 @@
     EXPECT_EQ(back->jobs, message.jobs);
     EXPECT_EQ(back->first, message.first);
     EXPECT_EQ(back->echo, message.echo);
-    EXPECT_EQ(back->told, message.told);
+    EXPECT_EQ(back->announced, message.announced);
     EXPECT_EQ(back->leading, message.leading);
     EXPECT_EQ(back->heartbeat.machine, message.heartbeat.machine);
     EXPECT_EQ(back->heartbeat.tasks.size(), message.heartbeat.tasks.size());
@@ -112,8 +112,8 @@
       {PeerKind::kStatus, "0301086865726465722d3190e4d0b287d3aeeefe012905d1df04bc058080808004ae0203"},
       {PeerKind::kForward, "0302086865726465722d3190e4d0b287d3aeeefe01290904504f5354022f78077b2261223a007d"},
       {PeerKind::kAnswer, "0303086865726465722d3190e4d0b287d3aeeefe012909f70302027b7d"},
-      {PeerKind::kTold, "030a086865726465722d3190e4d0b287d3aeeefe0129ac02039c0307a08d06"},
-      {PeerKind::kNudge, "0304086865726465722d3190e4d0b287d3aeeefe01299c03"},
+      {PeerKind::kCancellationsAnnounced, "030a086865726465722d3190e4d0b287d3aeeefe0129ac02039c0307a08d06"},
+      {PeerKind::kJobChanged, "0304086865726465722d3190e4d0b287d3aeeefe01299c03"},
       {PeerKind::kHeartbeat,
        "0305086865726465722d3190e4d0b287d3aeeefe0129090b686f73742d30303032333103bc05290f31302e312e"
        "302e3233323a39303030026738016103d461029c030307029c0304079401"},
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -134,7 +134,7 @@
   core.jobs.remember_final(kFirst, FinalState::kDone);
   add(kSecond, {kFirst});
   EXPECT_EQ(ready, std::vector<JobId>{kSecond});
-  core.jobs.remember_final(9, FinalState::kWithdrawn);
+  core.jobs.remember_final(9, FinalState::kCancelled);
   add(kThird, {9});
   EXPECT_EQ(cancelled, std::vector<JobId>{kThird});
   EXPECT_TRUE(core.out.calls.empty());
@@ -155,7 +155,7 @@
   EXPECT_DOUBLE_EQ(second.inherited_due_ms, third.due_ms() - kDurationS * 1000);
   EXPECT_DOUBLE_EQ(first.inherited_due_ms, third.due_ms() - 2 * kDurationS * 1000);
   // What was inherited ends with the job that it came from.
-  dependencies.finished(kThird, FinalState::kWithdrawn);
+  dependencies.finished(kThird, FinalState::kCancelled);
   dependencies.inherit([](const Job&) { return kDurationS; });
   EXPECT_EQ(first.priority(), Priority::kLow);
 }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -33,7 +33,7 @@
   graph.add(3, {1});
   graph.add(4, {2, 3, 9});
   graph.add(5, {9});
-  EXPECT_EQ(sorted(graph.finished(1, FinalState::kWithdrawn).cancelled), (std::vector<JobId>{2, 3, 4}));
+  EXPECT_EQ(sorted(graph.finished(1, FinalState::kCancelled).cancelled), (std::vector<JobId>{2, 3, 4}));
   EXPECT_EQ(graph.finished(9, FinalState::kDone).ready, std::vector<JobId>{5});
 }
 
@@ -50,7 +50,7 @@
     ++pairs;
   });
   EXPECT_EQ(pairs, kLength - 1);
-  EXPECT_EQ(chain.finished(1, FinalState::kWithdrawn).cancelled.size(), kLength - 1);
+  EXPECT_EQ(chain.finished(1, FinalState::kCancelled).cancelled.size(), kLength - 1);
   DependencyGraph fan;
   for (JobId id = 2; id <= kLength; ++id) fan.add(id, {1});
   EXPECT_EQ(fan.finished(1, FinalState::kDone).ready.size(), kLength - 1);
@@ -61,7 +61,7 @@
   graph.add(1, {2});
   graph.add(2, {1});
   graph.visit_backwards([](JobId, JobId) { ADD_FAILURE() << "nothing on a ring is settled"; });
-  EXPECT_EQ(sorted(graph.finished(1, FinalState::kWithdrawn).cancelled), (std::vector<JobId>{1, 2}));
+  EXPECT_EQ(sorted(graph.finished(1, FinalState::kCancelled).cancelled), (std::vector<JobId>{1, 2}));
 }
 
 // A job is ready when all that it needs is done, and cancelled when something that it needs is.
@@ -72,7 +72,7 @@
   bool cancelled(JobId id) const {
     for (JobId other : needs.at(id)) {
       const auto found = over.find(other);
-      if (found != over.end() && found->second == FinalState::kWithdrawn) return true;
+      if (found != over.end() && found->second == FinalState::kCancelled) return true;
       if (found == over.end() && cancelled(other)) return true;
     }
     return false;
@@ -106,7 +106,7 @@
       const bool cancel = random() % 5 == 0 || runnable.empty();
       const auto& from = cancel ? open : runnable;
       const JobId id = *std::next(from.begin(), static_cast<std::ptrdiff_t>(random() % from.size()));
-      const auto state = cancel ? FinalState::kWithdrawn : FinalState::kDone;
+      const auto state = cancel ? FinalState::kCancelled : FinalState::kDone;
       open.erase(id);
       runnable.erase(id);
       graph.remove(id);
@@ -121,7 +121,7 @@
         EXPECT_EQ(open.erase(cancelled), 1u);
         EXPECT_FALSE(runnable.contains(cancelled));
       }
-      for (const auto other : outcome.cancelled) reference.over[other] = FinalState::kWithdrawn;
+      for (const auto other : outcome.cancelled) reference.over[other] = FinalState::kCancelled;
       for (const auto other : open) {
         EXPECT_FALSE(reference.cancelled(other));
         EXPECT_EQ(runnable.contains(other), reference.ready(other));
--- a/tests/judge.cpp
+++ b/tests/judge.cpp
@@ -209,7 +209,8 @@
       breach("ran_cancelled", now, protocol::task_text(task) + " on " + places[0].machine);
 }
 
-void Judge::told(double now, double asked_at, JobId id, int status, const std::string& state, bool accepted) {
+void Judge::announced(double now, double asked_at, JobId id, int status, const std::string& state,
+                      bool accepted) {
   const std::string name = protocol::job_id_text(id);
   if (status == 404 && accepted_.contains(id)) breach("forgotten", now, name);
   if ((status == 400 || status == 422) && accepted_.contains(id)) breach("forgotten", now, name + " refused");
--- a/tests/loopback/history.hpp
+++ b/tests/loopback/history.hpp
@@ -10,12 +10,12 @@
 namespace robinford::loopback {
 
 enum class EventKind : std::uint8_t {
-  kAccepted,   // a user was told that the job is accepted
+  kAccepted,   // a user was announced that the job is accepted
   kTaskOn,     // a task began to take room on a worker
   kTaskOff,    // it takes none any more
   kTaskDone,   // it completed
-  kToldDone,   // a user was told that the job is done
-  kToldOther,  // a user was told of another state
+  kToldDone,   // a user was announced that the job is done
+  kToldOther,  // a user was announced of another state
 };
 
 struct Event {
--- a/tests/machine_records_test.cpp
+++ b/tests/machine_records_test.cpp
@@ -34,13 +34,13 @@
     if (!group.leaving.empty()) continue;
     if (MachineLedger::deletable(group)) {
       records.erase(name);
-      group.stamp = 0;
+      group.mod_revision = 0;
       continue;
     }
     if (group.members.empty() || (!group.urgent && !group.outdated)) continue;
     std::vector<std::string> named;
     records[name] = ledger.group_record(name, kTerm, named);
-    group.stamp = 1;
+    group.mod_revision = 1;
     group.urgent = group.outdated = false;
     for (const auto& member : group.members) ledger.on_record(*ledger.find(member), name);
     for (const auto& member : named) ledger.find(member)->recorded = true;
@@ -104,12 +104,12 @@
         continue;
       if (MachineLedger::deletable(group)) {
         records.erase(name);
-        group.stamp = 0;
+        group.mod_revision = 0;
         group.outdated = false;
       } else if (!group.members.empty()) {
         std::vector<std::string> named;
         records[name] = ledger.group_record(name, kTerm, named);
-        group.stamp = 1;
+        group.mod_revision = 1;
         group.urgent = group.outdated = false;
         for (const auto& member : group.members) ledger.on_record(*ledger.find(member), name);
       }
--- a/tests/quota_property_test.cpp
+++ b/tests/quota_property_test.cpp
@@ -308,12 +308,13 @@
     launch();
   }
 
-  // Conditional on leadership and stamp. A late one was not answered, so the writer tries it once more.
+  // Conditional on leadership and mod_revision. A late one was not answered, so the writer tries it once
+  // more.
   void carry_out(LeaseWrite write) {
     if (now_ < late_until_ && random_ % 2 == 0) return lessor_->not_written(write.key, false);
     const auto found = store_.find(write.key);
-    const std::uint64_t stamp = found == store_.end() ? 0 : found->second.first;
-    if (stamp != write.expect) return lessor_->not_written(write.key, true);
+    const std::uint64_t mod_revision = found == store_.end() ? 0 : found->second.first;
+    if (mod_revision != write.expect) return lessor_->not_written(write.key, true);
     ++stamps_;
     if (write.value)
       store_[write.key] = {stamps_, boost::json::parse(boost::json::serialize(*write.value))};
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -108,9 +108,9 @@
 
 LesseeMessage lessee_message() {
   LesseeMessage message;
-  message.session = 4;
+  message.lessor_incarnation = 4;
   message.epoch = 5;
-  message.question = 60'000;
+  message.probe = 60'000;
   message.refunds_taken = 2;
   message.with_parts = true;
   message.grants.push_back({1, 412, "red", 3, {1000, 0}});
@@ -121,9 +121,9 @@
 LessorMessage lessor_message() {
   LessorMessage message;
   message.incarnation = kIncarnation;
-  message.session = 4;
+  message.lessor_incarnation = 4;
   message.epoch = 5;
-  message.question = 60'000;
+  message.probe = 60'000;
   message.grants_taken = 1;
   message.refunds.push_back({1, 412, 3});
   message.parts.push_back({"red", 9, {8000, 0}, {4000, 0}});
@@ -156,19 +156,19 @@
  protected:
   LesseeTest() : lessee(LeaseOptions{}, kIncarnation) {}
   // The lessor's word with a part of so many cpus.
-  LessorMessage offer(double size, std::uint64_t revision, double question) {
+  LessorMessage offer(double size, std::uint64_t revision, double probe) {
     LessorMessage message;
     message.incarnation = kIncarnation;
-    message.session = 10;
+    message.lessor_incarnation = 10;
     message.epoch = 10;
-    message.question = static_cast<std::uint64_t>(question * 1000);
+    message.probe = static_cast<std::uint64_t>(probe * 1000);
     message.parts.push_back({"red", revision, cpus(size), cpus(size)});
     return message;
   }
   Lessee lessee;
 };
 
-TEST_F(LesseeTest, GrantsOnlyWhatItHolds) {
+TEST_F(LesseeTest, GrantsOnlyWhatItHas) {
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 100));
   lessee.take(offer(4, 1, 100), 100.1);
   EXPECT_EQ(lessee.grant(job(2, 3, 1), 100.2)->tasks, 3u);
@@ -191,7 +191,7 @@
   EXPECT_TRUE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.5));
   EXPECT_FALSE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.25));
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 106));
-  // A late answer to an early question renews nothing beyond that question's time.
+  // A late answer to an early probe renews nothing beyond that probe's time.
   lessee.take(offer(4, 1, 100), 107);
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 107));
   EXPECT_EQ(lessee.counters().not_valid, 2u);
@@ -229,7 +229,7 @@
   EXPECT_EQ(lessee.held(), cpus(2));
 }
 
-TEST_F(LesseeTest, TellsAllGrantsAnewInANewSessionAndDropsThemWithItsLease) {
+TEST_F(LesseeTest, ResendsAllGrantsToANewLessorIncarnationAndDropsThemWithItsLease) {
   lessee.take(offer(8, 1, 100), 100.1);
   lessee.grant(job(1, 2, 1), 100.2);
   ASSERT_TRUE(lessee.new_grants());
@@ -238,7 +238,7 @@
   message.grants_taken = 1;
   lessee.take(message, 100.3);
   EXPECT_TRUE(lessee.renewal(100.4).grants.empty());
-  message.session = 11;
+  message.lessor_incarnation = 11;
   message.grants_taken = 0;
   EXPECT_TRUE(lessee.take(message, 100.5));
   ASSERT_EQ(lessee.renewal(100.6).grants.size(), 1u);
@@ -251,7 +251,7 @@
 }
 
 // A leader that becomes a follower again must not take a late answer from before for a lease.
-TEST_F(LesseeTest, AnswersToQuestionsFromBeforeAResetRenewNothing) {
+TEST_F(LesseeTest, AnswersToProbesFromBeforeAResetRenewNothing) {
   lessee.take(offer(8, 1, 100), 100.1);
   lessee.reset(101);
   lessee.take(offer(8, 1, 100.5), 101.5);
@@ -282,15 +282,15 @@
   }
   LesseeMessage hello() {
     LesseeMessage message;
-    message.question = ++questions;
+    message.probe = ++probes;
     return message;
   }
   // What the lessee says next, by the last answer.
   LesseeMessage say(double demand = 0) {
     LesseeMessage message;
-    message.session = reply.session;
+    message.lessor_incarnation = reply.lessor_incarnation;
     message.epoch = reply.epoch;
-    message.question = ++questions;
+    message.probe = ++probes;
     message.with_parts = true;
     HeldPart part{"red", 0, {}, cpus(demand)};
     if (!reply.parts.empty()) {
@@ -300,20 +300,20 @@
     message.parts.push_back(part);
     return message;
   }
-  bool tell(const LesseeMessage& message, const std::string& member = "m-1",
-            std::uint64_t incarnation = kIncarnation) {
+  bool send_to_lessor(const LesseeMessage& message, const std::string& member = "m-1",
+                      std::uint64_t incarnation = kIncarnation) {
     const auto answer = lessor.take(member, incarnation, message, now);
     if (answer) reply = *answer;
     return answer.has_value();
   }
   // A lease of m-1, grown by demand and on record.
   void lease(double demand) {
-    tell(hello());
-    tell(say(demand));
+    send_to_lessor(hello());
+    send_to_lessor(say(demand));
     now += 1.1;
     lessor.tick(now);
-    for (const auto& write : lessor.take_writes(now)) lessor.written(write.key, ++stamp);
-    tell(say(demand));
+    for (const auto& write : lessor.take_writes(now)) lessor.written(write.key, ++mod_revision);
+    send_to_lessor(say(demand));
   }
   static StoredLease stored(const LeaseRecord& record) {
     return {lease_key(record.member, 0), 5, as_read(encode_lease(record))};
@@ -322,7 +322,7 @@
   double now = 100;
   Amount used;
   std::map<protocol::JobId, JobView> views;
-  std::uint64_t stamp = 50, questions = 0;
+  std::uint64_t mod_revision = 50, probes = 0;
   LessorMessage reply;
   protocol::Settings settings;
   Lessor lessor;
@@ -331,24 +331,24 @@
 TEST_F(LessorTest, PlacesNothingBeforeTheRecordsAreRead) {
   lessor.begin(kTerm, now);
   EXPECT_FALSE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
-  EXPECT_FALSE(tell(hello()));
+  EXPECT_FALSE(send_to_lessor(hello()));
   lessor.loaded({}, now);
   EXPECT_TRUE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
 }
 
 TEST_F(LessorTest, OffersAPartOnlyOnceItIsOnRecord) {
   begin();
-  tell(hello());
-  tell(say(4));
+  send_to_lessor(hello());
+  send_to_lessor(say(4));
   now += 1.1;
   lessor.tick(now);
   const auto writes = lessor.take_writes(now);
   ASSERT_EQ(writes.size(), 1u);
-  tell(say(4));
+  send_to_lessor(say(4));
   EXPECT_TRUE(reply.parts.empty());
   EXPECT_FALSE(lessor.permits(job(1, 16, 1, true), 16, 0, 0, 0));  // it counts as taken already
   lessor.written(writes[0].key, 51);
-  tell(say(4));
+  send_to_lessor(say(4));
   ASSERT_EQ(reply.parts.size(), 1u);
   EXPECT_EQ(reply.parts[0].size, cpus(4));
 }
@@ -371,7 +371,7 @@
   auto message = say(8);
   message.grants.push_back({1, 1, "red", 8, cpus(1)});
   views[1] = {JobView::State::kLive, 8, 0};
-  tell(message);
+  send_to_lessor(message);
   EXPECT_TRUE(lessor.permits(job(2, 8, 1, true), 8, 0, 0, 0));
   EXPECT_FALSE(lessor.permits(job(2, 9, 1, true), 9, 0, 0, 0));
   EXPECT_TRUE(lessor.permits(job(1, 8, 1, true), 8, 8, 0, 0));
@@ -387,9 +387,9 @@
   message.grants.push_back({1, 1, "red", 9, cpus(1)});
   message.grants.push_back({2, 2, "blue", 1, cpus(1)});
   message.grants.push_back({3, 3, "red", 8, cpus(1)});
-  tell(message);
-  message.question = ++questions;
-  tell(message);  // repeated: taken already
+  send_to_lessor(message);
+  message.probe = ++probes;
+  send_to_lessor(message);  // repeated: taken already
   EXPECT_EQ(lessor.counters().grants_refused, 2u);
   EXPECT_EQ(lessor.counters().grants_taken, 1u);
   EXPECT_EQ(reply.refunds.size(), 2u);
@@ -413,12 +413,12 @@
 TEST_F(LessorTest, LateCopiesChangeNothing) {
   begin();
   const auto first = hello();
-  tell(first);
+  send_to_lessor(first);
   lease(8);
   const auto before = lessor.ledger().leased("red");
-  EXPECT_FALSE(tell(first));
+  EXPECT_FALSE(send_to_lessor(first));
   EXPECT_EQ(lessor.ledger().leased("red"), before);
-  EXPECT_TRUE(lessor.ledger().leases().at("m-1").in_session);
+  EXPECT_TRUE(lessor.ledger().leases().at("m-1").synchronized);
 }
 
 TEST_F(LessorTest, ANewProcessEndsTheLeaseOfTheOneBefore) {
@@ -428,10 +428,10 @@
   auto late = say(8);
   late.grants.push_back({1, 1, "red", 8, cpus(1)});
   reply = {};
-  EXPECT_TRUE(tell(hello(), "m-1", kIncarnation + 1));
+  EXPECT_TRUE(send_to_lessor(hello(), "m-1", kIncarnation + 1));
   EXPECT_GT(reply.epoch, old_epoch);
   EXPECT_TRUE(lessor.exposure().is_zero());
-  EXPECT_FALSE(tell(late));  // a grant of the former process, still on its way
+  EXPECT_FALSE(send_to_lessor(late));  // a grant of the former process, still on its way
   EXPECT_EQ(lessor.counters().grants_taken, 0u);
 }
 
@@ -476,8 +476,8 @@
   begin({stored({"m-1", (2u << c::kAttemptBits) | 1, kIncarnation, {{"red", cpus(20), 7}}})});
   auto message = hello();
   message.epoch = (2u << c::kAttemptBits) | 1;
-  tell(message);
-  tell(say(0));
+  send_to_lessor(message);
+  send_to_lessor(say(0));
   ASSERT_EQ(reply.parts.size(), 1u);
   now += 0.3;
   lessor.tick(now);
@@ -486,7 +486,7 @@
   EXPECT_EQ(messages[0].second.parts[0].keep, cpus(16));
   auto given = say(0);
   given.parts[0].size = cpus(16);
-  tell(given);
+  send_to_lessor(given);
   now += 0.3;
   lessor.tick(now);
   EXPECT_TRUE(lessor.take_messages().empty());
@@ -505,7 +505,7 @@
   EXPECT_TRUE(messages[0].second.parts[0].keep.is_zero());
   auto given = say(0);
   given.parts[0].size = {};
-  tell(given);
+  send_to_lessor(given);
   EXPECT_TRUE(lessor.permits(job(5, 16, 1, true), 16, 0, 0, 0));
 }
 
@@ -517,7 +517,7 @@
   ASSERT_FALSE(before.is_zero());
   EXPECT_FALSE(lessor.permits(job(5, 16, 1, true), 16, 0, 0, 0));
   now += 1.1;
-  tell(say(8));
+  send_to_lessor(say(8));
   lessor.tick(now);
   EXPECT_EQ(lessor.ledger().leased("red"), before);
 }
@@ -528,11 +528,11 @@
   auto message = say(8);
   message.grants.push_back({1, 1, "red", 8, cpus(1)});
   views[1] = {JobView::State::kLive, 8, 0};
-  tell(message);
+  send_to_lessor(message);
   for (int i = 0; i < 11; ++i) {
     EXPECT_FALSE(lessor.permits(job(5, 16, 1, true), 16, 0, 0, 0));
     now += 1;
-    tell(say(0));
+    send_to_lessor(say(0));
     lessor.tick(now);
   }
   EXPECT_EQ(lessor.counters().revoked_tasks, 8u);
@@ -545,7 +545,7 @@
   auto message = say(8);
   message.grants.push_back({1, 1, "red", 4, cpus(1)});
   views[1] = {JobView::State::kLive, 4, 0};
-  tell(message);
+  send_to_lessor(message);
   lessor.charged(job(1, 4, 1), 4);
   views[1] = {JobView::State::kOver, 0, 4};
   now += 0.3;
@@ -562,8 +562,8 @@
 
 TEST_F(LessorTest, AChangedRecordStopsPlacingUntilAllAreReadAgain) {
   begin();
-  tell(hello());
-  tell(say(4));
+  send_to_lessor(hello());
+  send_to_lessor(say(4));
   now += 1.1;
   lessor.tick(now);
   const auto writes = lessor.take_writes(now);
@@ -573,27 +573,27 @@
   EXPECT_FALSE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
   lessor.loading_begins();
   lessor.loaded({}, now);
-  const auto before = reply.session;
-  tell(say(4));
-  EXPECT_GT(reply.session, before);  // grants are told anew
+  const auto before = reply.lessor_incarnation;
+  send_to_lessor(say(4));
+  EXPECT_GT(reply.lessor_incarnation, before);  // grants are announced anew
 }
 
 TEST_F(LessorTest, PartsOfManyTeamsAreSpreadOverSlices) {
   settings.value_kb = 2;
   for (int i = 0; i < 200; ++i) settings.teams.push_back({"team-" + std::to_string(i), 8, 16, 0, 0});
   begin();
-  tell(hello());
+  send_to_lessor(hello());
   auto message = say(0);
   for (int i = 0; i < 200; ++i) message.parts.push_back({"team-" + std::to_string(i), 0, {}, cpus(4)});
-  tell(message);
+  send_to_lessor(message);
   std::size_t parts = 0;
   for (int round = 0; round < 40; ++round) {
     now += 1.1;
-    tell(say(0));
+    send_to_lessor(say(0));
     lessor.tick(now);
     for (const auto& write : lessor.take_writes(now)) {
       EXPECT_LT(boost::json::serialize(*write.value).size(), settings.value_bytes() - c::kValueSlackBytes);
-      lessor.written(write.key, ++stamp);
+      lessor.written(write.key, ++mod_revision);
     }
   }
   for (const auto& [team, part] : lessor.ledger().leases().at("m-1").parts) parts += part.durable ? 1 : 0;
--- a/tests/state_store.cpp
+++ b/tests/state_store.cpp
@@ -47,7 +47,7 @@
     json::object entry;
     entry[change.deleted ? n::kDelete : n::kPut] = change.key;
     if (!change.deleted) entry[n::kValue] = change.value;
-    entry[n::kVersion] = change.epoch;
+    entry[n::kModRevision] = change.epoch;
     events.emplace_back(entry);
   }
   if (events.empty() && !final) return false;
@@ -86,7 +86,7 @@
     }
     answer[n::kKey] = found->first;
     answer[n::kValue] = found->second.value;
-    answer[n::kVersion] = found->second.stamp;
+    answer[n::kModRevision] = found->second.mod_revision;
     return {200, json::serialize(answer)};
   }
   if (target.starts_with(store + "?")) {
@@ -103,7 +103,7 @@
       json::object item;
       item[n::kKey] = key;
       item[n::kValue] = entry.value;
-      item[n::kVersion] = entry.stamp;
+      item[n::kModRevision] = entry.mod_revision;
       items.emplace_back(item);
     }
     json::object answer;
@@ -119,11 +119,11 @@
   }
   const auto request = json::parse(body).as_object();
   json::array failed;
-  for (const auto& condition : request.at(n::kIf).as_array()) {
+  for (const auto& condition : request.at(n::kConditions).as_array()) {
     const std::string key(condition.at(n::kKey).as_string());
     const auto found = entries_.find(key);
-    const std::uint64_t stamp = found == entries_.end() ? 0 : found->second.stamp;
-    if (stamp != condition.at(n::kVersion).to_number<std::uint64_t>()) failed.emplace_back(key);
+    const std::uint64_t mod_revision = found == entries_.end() ? 0 : found->second.mod_revision;
+    if (mod_revision != condition.at(n::kModRevision).to_number<std::uint64_t>()) failed.emplace_back(key);
   }
   json::object answer;
   answer[n::kRevision] = epoch_;
@@ -131,7 +131,7 @@
     answer[n::kFailedKeys] = failed;
     return {409, json::serialize(answer)};
   }
-  const auto& then = request.at(n::kThen).as_array();
+  const auto& then = request.at(n::kOperations).as_array();
   for (const auto& change : then)
     if (const auto* lease = change.as_object().if_contains(n::kLease);
         lease != nullptr && !leases_.contains(lease->to_number<std::uint64_t>()))
@@ -164,8 +164,8 @@
 
 int StateStore::over_limits(double now, const std::string& body) {
   const auto request = json::parse(body);
-  const auto& then = request.at(n::kThen).as_array();
-  if (then.size() > ops_most_ || request.at(n::kIf).as_array().size() > 4 * ops_most_) return 400;
+  const auto& then = request.at(n::kOperations).as_array();
+  if (then.size() > ops_most_ || request.at(n::kConditions).as_array().size() > 4 * ops_most_) return 400;
   for (const auto& change : then)
     if (const auto* value = change.as_object().if_contains(n::kValue);
         value != nullptr && json::serialize(*value).size() > value_most_)
--- a/tests/state_store.hpp
+++ b/tests/state_store.hpp
@@ -36,7 +36,7 @@
  private:
   struct Entry {
     boost::json::value value;
-    std::uint64_t stamp = 0, lease = 0;
+    std::uint64_t mod_revision = 0, lease = 0;
   };
   struct Lease {
     double ttl = 0, ends = 0;
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -1,6 +1,6 @@
 // A world in virtual time for the controllers: stand-ins for state service, cloud, workers, users and
-// network, and a judge of the protocol's rules that sees only what workers do and users are told, never the
-// scheduler's books.
+// network, and a judge of the protocol's rules that sees only what workers do and users are announced, never
+// the scheduler's books.
 #pragma once
 
 #include <functional>
@@ -51,12 +51,12 @@
   void close(double now);
   void trouble_until(double time) { troubles_end_ = std::max(troubles_end_, time); }
   // `asked_at`: an answer to a question from before a final answer may be older than that.
-  void told(double now, double asked_at, protocol::JobId id, int status, const std::string& state,
-            bool accepted);
+  void announced(double now, double asked_at, protocol::JobId id, int status, const std::string& state,
+                 bool accepted);
   void cancel_asked(protocol::JobId id) { cancel_asked_.insert(id); }
   void look(double now);  // rules that time alone breaks
   bool cancel_was_asked(protocol::JobId id) const { return cancel_asked_.contains(id); }
-  // A job that can never run, or lacks a field, and what its user was told of it.
+  // A job that can never run, or lacks a field, and what its user was announced of it.
   void told_of_bad(double now, protocol::JobId id, int status, int expected);
   // Room for each type, zone and kind that is free now: after the last trouble no job is left waiting beside
   // it.
@@ -77,7 +77,7 @@
   // Questions that users asked about jobs, and those answered with a state within 2 s.
   int polls_asked = 0, polls_answered = 0;
   int submissions_shed = 0;                       // turned away since too many requests wait
-  std::map<protocol::JobId, double> accepted_at;  // when its user was first told
+  std::map<protocol::JobId, double> accepted_at;  // when its user was first announced
   void breach(const char* rule, double now, const std::string& what);
 
  private:
@@ -171,7 +171,7 @@
   void freeze(int node, double for_s);
   // Its heartbeats reach no controller; direct commands get there.
   void mute(const std::string& machine, double for_s);
-  // Users call off so many running jobs at once; up to eight of their machines hang, if so told.
+  // Users call off so many running jobs at once; up to eight of their machines hang, if so announced.
   void cancel_running(int count, double hang_s);
   // That share of the jobs that end is called off at the moment of the last task's end.
   void cancel_at_end(double share, double for_s) { end_share_ = share, end_until_ = now_ + for_s; }
--- a/tests/world_cloud.cpp
+++ b/tests/world_cloud.cpp
@@ -39,7 +39,7 @@
     const auto names = protocol::parse_rented(body);
     for (const auto& name : *names) {
       const auto found = workers_.find(name);
-      // With this sabotage nothing ends withdrawn work, neither the return of its machine nor its lease.
+      // With this sabotage nothing ends cancelled work, neither the return of its machine nor its lease.
       if (found == workers_.end() || sabotage_ == "never_stops") continue;
       clear_worker(found->second);
       found->second.gone = true;
--- a/tests/world_users.cpp
+++ b/tests/world_users.cpp
@@ -38,7 +38,7 @@
             if (value && value->is_object())
               if (const auto* found = value->get_object().if_contains(n::kState))
                 state = std::string(found->as_string());
-            judge.told(now_, asked_at, spec.id, status, state, true);
+            judge.announced(now_, asked_at, spec.id, status, state, true);
             if (status == 503 && body.find("too many requests") != std::string::npos)
               ++judge.submissions_shed;
             if (status == 200 || status == 201) {
@@ -73,7 +73,7 @@
             if (value && value->is_object())
               if (const auto* found = value->get_object().if_contains(n::kState))
                 state = std::string(found->as_string());
-            judge.told(now_, asked_at, id, status, state, true);
+            judge.announced(now_, asked_at, id, status, state, true);
             if (std::exchange(*answered, true)) return;
             if (status != 200) return again();
             last_state[id] = state;
@@ -103,7 +103,7 @@
             std::string state;
             if (status == 200 && value && value->is_object())
               state = std::string(value->get_object().at(n::kState).as_string());
-            judge.told(now_, asked_at, id, status, state, true);
+            judge.announced(now_, asked_at, id, status, state, true);
             if (status != 200 && status != 404) return;
             judge.answered(now_, id);
             if (now_ - asked_at <= kPollPatienceS) ++judge.polls_answered;
--- a/tests/writer_test.cpp
+++ b/tests/writer_test.cpp
@@ -99,7 +99,7 @@
   b.step(0);
   ASSERT_EQ(b.out.calls.size(), 2u);
   const auto first = protocol::parse_json(b.out.calls[0].body)->as_object();
-  EXPECT_EQ(first.at(names::kThen).as_array().size(), 4u);
+  EXPECT_EQ(first.at(names::kOperations).as_array().size(), 4u);
   b.answer(b.next(), 200, "{\"epoch\":7}");
   EXPECT_EQ(b.outcomes.size(), 4u) << "all of the first transaction, none of the second";
 }
@@ -117,7 +117,7 @@
   // It was carried out after all: the value bears this writer's mark.
   const auto value = protocol::parse_json(lost.body)
                          ->as_object()
-                         .at(names::kThen)
+                         .at(names::kOperations)
                          .as_array()[0]
                          .as_object()
                          .at(names::kValue);
