--- a/src/bookkeeping/job_ledger.cpp
+++ b/src/bookkeeping/job_ledger.cpp
@@ -64,7 +64,7 @@
   switch (state) {
     case GangState::kQueued:
       return "queued";
-    case GangState::kHolding:
+    case GangState::kReserving:
       return "holding";
     case GangState::kLaunching:
       return "launching";
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -51,9 +51,9 @@
 };
 
 // A gang's claim on room of one machine, before its tasks are numbered.
-struct Hold {
+struct Reservation {
   std::string machine;
-  double made_at = 0, lapses_at = 0;
+  double made_at = 0, expires_at = 0;
   bool confirmed = false;
 };
 
@@ -68,7 +68,7 @@
 
 enum class GangState : std::uint8_t {
   kQueued,     // waits for a round
-  kHolding,    // holds made, not all confirmed
+  kReserving,  // reservations made, not all confirmed
   kLaunching,  // all confirmed, launches on their way
   kRunning,    // all tasks were seen
   kStopping,   // every task is being stopped; requeued when all are gone
@@ -106,7 +106,7 @@
   std::uint32_t next_fresh = 0;
 
   GangState gang = GangState::kQueued;
-  std::vector<Hold> holds;
+  std::vector<Reservation> reservations;
   std::uint64_t attempt = 0;
   double gang_since = 0;                     // when the present gang state began
   double stop_first = 0;                     // when its orderly stop began
@@ -150,7 +150,7 @@
   std::optional<FinalState> final_state(JobId id) const;
   void remember_final(JobId id, FinalState state);
 
-  // Records. A record that would not fit the limit holds as many completions as do; `whole` tells.
+  // Records. A record that would not fit the limit reservations as many completions as do; `whole` tells.
   static boost::json::object record(const Job& job, std::size_t limit, bool& whole);
   // The live record of a cancelled job keeps its description until nothing of it can be on any machine: a new
   // leader has to know what may still run.
--- a/src/bookkeeping/machine_ledger.cpp
+++ b/src/bookkeeping/machine_ledger.cpp
@@ -13,7 +13,7 @@
       return "booting";
     case MachineState::kUp:
       return "up";
-    case MachineState::kSilent:
+    case MachineState::kUnresponsive:
       return "silent";
     case MachineState::kReturning:
       return "returning";
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/room.hpp"
+#include "bookkeeping/resources.hpp"
 #include "protocol/messages.hpp"
 
 namespace robinford::bookkeeping {
@@ -18,11 +18,11 @@
 inline constexpr char kMachinePrefix[] = "m/";
 
 enum class MachineState : std::uint8_t {
-  kBooting,    // rented or listed, never sent_heartbeat to this leader
-  kUp,         // heartbeats
-  kSilent,     // was expected to heartbeat and does not
-  kReturning,  // its return was asked for; all on it counts until the cloud's answer
-  kGone,       // the cloud confirmed the return
+  kBooting,       // rented or listed, never sent_heartbeat to this leader
+  kUp,            // heartbeats
+  kUnresponsive,  // was expected to heartbeat and does not
+  kReturning,     // its return was asked for; all on it counts until the cloud's answer
+  kGone,          // the cloud confirmed the return
 };
 const char* to_text(MachineState state);
 
@@ -40,27 +40,30 @@
   std::uint64_t agent_epoch = 0, seq = 0;
   bool sent_heartbeat = false;  // to this leader
   bool saw_term = false;  // its worker has shown this leader's token: from then on its heartbeats are proof
-  bool unseen = false;    // on record from an earlier leader, and not proven yet: may hold tasks of that time
+  bool unreconciled =
+      false;  // on record from an earlier leader, and not proven yet: may hold tasks of that time
   double last_heartbeat = -1e9;
   double last_answer = -1e9;  // the last 200 with this leader's token
   // When its present agent_epoch was first shown with this leader's token: it began, and its last heartbeat
   // that anybody else answered was sent, no later than that.
   double agent_epoch_shown_at = -1e9;
   std::optional<double> interruption_at;  // steady, when the cloud takes it
-  double known_at = 0, rented_at = 0, up_at = 0;
+  double known_at = 0, provisioned_at = 0, up_at = 0;
   bool listed_failed = false;
   double last_listed = -1e9;
 
-  std::set<TaskId> tasks;  // runs of the job ledger on this machine
-  std::set<JobId> holds;   // gangs that hold room here (possibly several holds each)
+  std::set<TaskId> tasks;        // runs of the job ledger on this machine
+  std::set<JobId> reservations;  // gangs that hold free_resources here (possibly several reservations each)
   // Withdrawn jobs of which it may hold tasks, and when it is given back unless it has shown that they are
   // gone.
   std::map<JobId, double> overdue;
   std::vector<PendingClear> clears;
-  std::vector<protocol::TaskStatus> strays;  // on it by its last heartbeat, but nobody's: to be stopped
-  std::map<std::string, std::pair<double, double>> stray_charge;  // what they cost their teams: cpus, gpus
-  std::uint32_t gang_tasks = 0;                                   // of the tasks, those of gangs, ...
-  double gang_cpus = 0;                                           // ... and what they and the holds take
+  std::vector<protocol::TaskStatus>
+      unknown_tasks;  // on it by its last heartbeat, but nobody's: to be stopped
+  std::map<std::string, std::pair<double, double>>
+      unknown_task_charge;       // what they cost their teams: cpus, gpus
+  std::uint32_t gang_tasks = 0;  // of the tasks, those of gangs, ...
+  double gang_cpus = 0;          // ... and what they and the reservations take
   // Attempts started by a direct command under this term and in this agent_epoch. Such a command may be
   // carried out late or once more, which does nothing while the attempt is listed: so these are never
   // cleared.
@@ -77,30 +80,31 @@
   std::string former_record;  // names it too, until `record` surely does
   bool recorded = false;      // named, with its address, by a durable record
   std::string recorded_addr;  // as that record has it
-  bool room_known = false;    // `room` is what the tasks, holds and strays leave
-  Room room;
+  bool free_resources_known =
+      false;  // `free_resources` is what the tasks, reservations and unknown_tasks leave
+  Resources free_resources;
 
   std::set<JobId> error_jobs;  // jobs that failed here since the last success
   int errors = 0;
-  int unheard = 0;                      // commands in a row that newer heartbeats show were never taken
-  int unproven = 0;                     // answers in a row after which it still does not show the term
-  double asked_at = -1e9;               // last direct command or question
-  int asking = 0;                       // of them, how many are open
-  int ask_failures = 0;                 // in a row
+  int undelivered = 0;                  // commands in a row that newer heartbeats show were never taken
+  int unproven_answers = 0;             // answers in a row after which it still does not show the term
+  double last_probe_at = -1e9;          // last direct command or question
+  int open_probes = 0;                  // of them, how many are open
+  int probe_failures = 0;               // in a row
   std::uint64_t agent_epoch_guess = 1;  // for a question to a machine that has proved nothing yet
-  bool reborn = false;     // its counters went back: only the cloud's answer settles what was on it
-  bool offered = false;    // its free room was offered to the waiting gangs since it last grew
-  bool set_aside = false;  // takes nothing new
-  // What its time went into, in core seconds: for the log line at its end.
+  bool agent_reset = false;  // its counters went back: only the cloud's answer settles what was on it
+  bool offered = false;      // its free free_resources was offered to the waiting gangs since it last grew
+  bool cordoned = false;     // takes nothing new
+  // What its time went into, in context seconds: for the log line at its end.
   double useful = 0, lost = 0, fetching = 0;
-  bool winding_down = false;  // takes no new array tasks: more room than needed
+  bool draining = false;  // takes no new array tasks: more free_resources than needed
   double idle_since = 0;
-  std::optional<JobId> reserved_by;  // room being emptied for this gang
+  std::optional<JobId> reserved_by;  // free_resources being emptied for this gang
   double reserved_until = 0;
   std::map<std::string, double> images;  // image -> last use
 };
 
-// Machines stand in durable records in groups, so that one change covers a whole rental.
+// Machines stand in durable records in groups, so that one change covers a whole provisioning.
 struct MachineGroup {
   std::uint64_t mod_revision = 0;  // 0: there is no such record
   bool writing = false;
@@ -158,7 +162,7 @@
   // writes it.
   boost::json::object group_record(const std::string& group, std::uint64_t term,
                                    std::vector<std::string>& named);
-  // Adds the machines that the record names, as unseen. What leaders before `trusted_since` wrote of
+  // Adds the machines that the record names, as unreconciled. What leaders before `trusted_since` wrote of
   // unanswered machines counts for nothing: one of them may have answered without writing so.
   bool read_group(const std::string& group, std::uint64_t mod_revision, const boost::json::value& value,
                   double now, std::uint64_t trusted_since);
--- a/src/bookkeeping/quota.cpp
+++ b/src/bookkeeping/quota.cpp
@@ -12,9 +12,9 @@
     used[spec.team].cpus += spec.cpus * tasks;
     used[spec.team].gpus += spec.gpus * tasks;
   };
-  for (auto& [id, job] : jobs.all()) add(job->spec, job->runs.size() + job->holds.size());
+  for (auto& [id, job] : jobs.all()) add(job->spec, job->runs.size() + job->reservations.size());
   for (auto& [name, machine] : machines.all())
-    for (const auto& [team, amount] : machine.stray_charge) {
+    for (const auto& [team, amount] : machine.unknown_task_charge) {
       used[team].cpus += amount.first;
       used[team].gpus += amount.second;
     }
@@ -23,7 +23,7 @@
 
 Usage QuotaAccounts::usage(const std::string& team) const {
   Usage sum;
-  for (const auto* part : {&used_, &unseen_})
+  for (const auto* part : {&used_, &unreconciled_})
     if (const auto found = part->find(team); found != part->end()) {
       sum.cpus += found->second.cpus;
       sum.gpus += found->second.gpus;
@@ -67,32 +67,32 @@
   if (guard_ != nullptr) guard_->refunded(spec, tasks);
 }
 
-void QuotaAccounts::charge_strays(Machine& machine, JobLedger& jobs) {
-  for (const auto& stray : machine.strays) {
-    if (const Job* job = jobs.find(stray.task.job)) {
-      auto& amount = machine.stray_charge[job->spec.team];
+void QuotaAccounts::charge_unknown_tasks(Machine& machine, JobLedger& jobs) {
+  for (const auto& unknown_task : machine.unknown_tasks) {
+    if (const Job* job = jobs.find(unknown_task.task.job)) {
+      auto& amount = machine.unknown_task_charge[job->spec.team];
       amount.first += job->spec.cpus;
       amount.second += job->spec.gpus;
       continue;
     }
     for (const auto& team : settings_.teams) {
-      auto& amount = machine.stray_charge[team.name];
+      auto& amount = machine.unknown_task_charge[team.name];
       amount.first += machine.cpus;
       amount.second += machine.gpus;
     }
   }
-  for (const auto& [team, amount] : machine.stray_charge) {
+  for (const auto& [team, amount] : machine.unknown_task_charge) {
     used_[team].cpus += amount.first;
     used_[team].gpus += amount.second;
   }
 }
 
-void QuotaAccounts::refund_strays(Machine& machine) {
-  for (const auto& [team, amount] : machine.stray_charge) {
+void QuotaAccounts::refund_unknown_tasks(Machine& machine) {
+  for (const auto& [team, amount] : machine.unknown_task_charge) {
     used_[team].cpus -= amount.first;
     used_[team].gpus -= amount.second;
   }
-  machine.stray_charge.clear();
+  machine.unknown_task_charge.clear();
 }
 
 double QuotaAccounts::share_used(const std::string& team, double share) const {
--- a/src/bookkeeping/quota.hpp
+++ b/src/bookkeeping/quota.hpp
@@ -1,5 +1,5 @@
 // What each team's tasks use, or could use, of its limits: running books, changed with each run, hold and
-// stray.
+// unknown_task.
 #pragma once
 
 #include <map>
@@ -21,7 +21,7 @@
   explicit QuotaAccounts(const protocol::Settings& settings) : settings_(settings) {}
   void clear() {
     used_.clear();
-    unseen_.clear();
+    unreconciled_.clear();
   }
   // Another one that is asked before each placement and announced of each charge. May be null.
   void set_guard(LaunchGuard* guard) { guard_ = guard; }
@@ -30,10 +30,12 @@
   void charge(const JobSpec& spec, std::uint32_t tasks);
   void refund(const JobSpec& spec, std::uint32_t tasks);
   // Tasks that a machine shows and nobody wants. One of unknown size costs every team the whole machine.
-  void charge_strays(Machine& machine, JobLedger& jobs);
-  void refund_strays(Machine& machine);
+  void charge_unknown_tasks(Machine& machine, JobLedger& jobs);
+  void refund_unknown_tasks(Machine& machine);
   // What machines that have not shown themselves to this leader may hold of jobs that an earlier one placed.
-  void set_unseen(std::map<std::string, Usage> unseen) { unseen_ = std::move(unseen); }
+  void set_unreconciled(std::map<std::string, Usage> unreconciled) {
+    unreconciled_ = std::move(unreconciled);
+  }
 
   Usage usage(const std::string& team) const;
   // `kept` of the cpus is spoken for by others of the team.
@@ -42,13 +44,13 @@
   double left(const std::string& team) const;  // cpus up to the limit
   double share_used(const std::string& team, double share) const;
 
-  // What the running books ought to say of runs, holds and strays: for tests.
+  // What the running books ought to say of runs, reservations and unknown_tasks: for tests.
   std::map<std::string, Usage> recount(JobLedger& jobs, MachineLedger& machines) const;
   const std::map<std::string, Usage>& running() const { return used_; }
 
  private:
   const protocol::Settings& settings_;
-  std::map<std::string, Usage> used_, unseen_;
+  std::map<std::string, Usage> used_, unreconciled_;
   LaunchGuard* guard_ = nullptr;
 };
 
--- a/src/bookkeeping/room.hpp
+++ b/src/bookkeeping/resources.hpp
@@ -9,7 +9,7 @@
 
 namespace robinford::bookkeeping {
 
-struct Room {
+struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
   bool fits(const protocol::JobSpec& spec, std::uint32_t tasks = 1) const {
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -50,7 +50,7 @@
   // Sends what budget and limits allow.
   void pump(double now);
   std::size_t waiting() const { return queue_.size() + in_flight_; }
-  // A caretaker writes nothing: units stay queued meanwhile.
+  // A degraded writes nothing: units stay queued meanwhile.
   void set_paused(bool paused) { paused_ = paused; }
 
  private:
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -9,7 +9,7 @@
 
 // ---- clocks and amounts ----
 inline constexpr double kClockDrift = 0.0005;    // ratio: the protocol's bound on steady clocks (0.05%)
-inline constexpr double kTickS = 0.05;           // s: how often timers of the core are looked at
+inline constexpr double kTickS = 0.05;           // s: how often timers of the context are looked at
 inline constexpr double kLeaseMarginS = 0.25;    // s: scheduling delay added to every lease reckoning
 inline constexpr double kAmountRounding = 1e-6;  // amounts are decimal numbers
 
@@ -19,14 +19,14 @@
 inline constexpr double kRenewEveryS = 0.6;  // s: four renewals per lease survive a slow answer or two
 inline constexpr double kRenewTimeoutS = 1.0;    // s: a renewal without an answer by then is tried again
 inline constexpr double kValidityMarginS = 0.3;  // s: taken off the leader's own reckoning of its lease
-inline constexpr double kCaretakerBoundS =
+inline constexpr double kDegradedBoundS =
     90.0;  // s: after its last renewal a leader answers no heartbeat any more
 inline constexpr double kCancellationMarginS =
     1.5;  // s: what is announced on its way, ticks, and a worker's own steps
 inline constexpr double kLeastAnswerS = 6.0;  // s between a lease and a cancellation, below which the books
                                               // may not lag at all: they do by 2 s or so
 inline constexpr double kStrictAnswerS =
-    45.0;  // s: the caretaker's bound there, since cancellations wait for it; well below 75 s
+    45.0;  // s: the degraded's bound there, since cancellations wait for it; well below 75 s
 inline constexpr double kInMemoryStateFreshS =
     2.0;  // s for which a member's answered question lets a leader's books
           // speak for it: two heartbeats and a delay
@@ -78,7 +78,7 @@
     std::size_t{8} * 1024;  // bytes of header fields taken from a client
 inline constexpr std::size_t kClientBodyMax =
     4u << 20;                                 // bytes of an answer read from the state service or cloud
-inline constexpr double kServerIdleS = 30.0;  // s: a silent client connection is closed
+inline constexpr double kServerIdleS = 30.0;  // s: a unresponsive client connection is closed
 inline constexpr double kServerReadS = 8.0;   // s: a request must be complete by then, once begun
 inline constexpr double kServerWriteS = 8.0;  // s: a client that does not read its answer is dropped
 inline constexpr double kConnectS = 1.0;      // s: a machine without power never refuses a connection
@@ -103,7 +103,7 @@
 inline constexpr double kForwardPerMb =
     16;  // forwarded requests in flight a MB of memory before new ones get 503
 inline constexpr double kDirectHeartbeatsPerCore =
-    500;  // heartbeats a second, for each core of the quota, that a leader takes itself
+    500;  // heartbeats a second, for each context of the quota, that a leader takes itself
 inline constexpr std::size_t kBatchBytes =
     std::size_t{32} * 1024;  // bytes for another controller that are sent without waiting for the tick
 inline constexpr double kParkS = 2.5;       // s a heartbeat waits for a leader: its worker gives up after 4 s
@@ -140,7 +140,7 @@
     2;  // of this program; the first one registered, and it brings dependencies
 inline constexpr double kVersionsEveryS = 2.0;  // s between two readings of the registry until all are known
 
-// ---- heartbeats and holds ----
+// ---- heartbeats and reservations ----
 inline constexpr double kReservationHeartbeats =
     3.0;  // heartbeat intervals after which a hold lapses (the design's)
 inline constexpr double kHeartbeatJitter = 1.25;  // the longest heartbeat interval over the nominal one
@@ -164,45 +164,47 @@
     0.8;                                     // s: between two writings of a record whose machines wait for it
 inline constexpr double kRecordTidyS = 3.0;  // s: between two writings of a record that is only outdated
 inline constexpr int kUnprovenMost = 4;      // answers with our token after which a worker should show it
-inline constexpr int kUnheardMost = 2;     // commands that a machine did not take before it is asked directly
-inline constexpr int kAsksEnough = 2;      // unanswered questions after which a machine counts as silent
-inline constexpr double kEarlyPerMb = 40;  // heartbeats kept a MB of memory while the ledger is read
+inline constexpr int kUndeliveredMost =
+    2;                                   // commands that a machine did not take before it is asked directly
+inline constexpr int kProbesEnough = 2;  // unanswered questions after which a machine counts as unresponsive
+inline constexpr double kEarlyPerMb = 40;        // heartbeats kept a MB of memory while the ledger is read
 inline constexpr double kLoadRetryS = 0.3;       // s between tries to read the ledger
 inline constexpr double kUnknownBackoffS = 2.0;  // s: the worker did not know the job yet
-inline constexpr double kRoomBackoffS = 1.0;     // s: our picture of a machine's room was wrong
+inline constexpr double kInsufficientResourcesBackoffS = 1.0;  // s: our picture of a machine's room was wrong
 inline constexpr double kNobodyYetS =
     2.0;  // s that a leader with no machine on record waits for any to heartbeat
-inline constexpr double kGatherLookS = 0.2;  // s between two looks at whether the round is full
+inline constexpr double kReconcileCheckS = 0.2;  // s between two looks at whether the round is full
 inline constexpr double kUnansweredLeaseShare =
-    0.75;  // of a lease, after which a silent machine is put on record as not answered any more
-inline constexpr double kWatchEveryS = 0.25;  // s between two looks at silent machines
+    0.75;  // of a lease, after which a unresponsive machine is put on record as not answered any more
+inline constexpr double kWatchEveryS = 0.25;  // s between two looks at unresponsive machines
 inline constexpr double kSweepEveryS = 0.2;  // s between two looks at jobs that end or have progress to write
-inline constexpr double kLogWaitsEveryS = 1.0;  // s between two lines of why a job waits
-inline constexpr double kDoubtEveryS = 2.0;     // s between two questions to a doubtful machine
+inline constexpr double kLogWaitsEveryS = 1.0;      // s between two lines of why a job waits
+inline constexpr double kSuspectProbeEveryS = 2.0;  // s between two questions to a doubtful machine
 
 // ---- direct commands ----
 inline constexpr double kDirectWaitShare =
     0.25;  // share of the shortest expected start above which two heartbeats are too long
 inline constexpr double kDirectDefaultWaitS =
     20.0;  // s: the shortest expected start where no aim names a shorter one
-inline constexpr double kDirectPerCore = 800;  // direct calls a second for each core of the quota
+inline constexpr double kDirectPerCore = 800;  // direct calls a second for each context of the quota
 inline constexpr double kDirectLeast = 5;      // a second, in any case
 inline constexpr int kDirectSocketPart = 8;    // one socket in so many may be a direct call
 inline constexpr std::size_t kDirectListMax =
     64;  // attempts that stay listed on a machine before heartbeats carry launches
-inline constexpr double kDirectDoubtS =
+inline constexpr double kUnansweredLaunchS =
     6.0;  // s: an unanswered launch of cancelled work, before its machine goes
 inline constexpr std::uint64_t kAttemptBits = 24;  // attempts are term << 24 | counter: never used twice
 inline constexpr std::size_t kCommandsMax = 200;   // commands in one answer: stays far below 64 KiB
-inline constexpr double kDeafShareMax = 0.05;  // above this share of deaf machines the fault is on our side
-inline constexpr std::size_t kDeafLeast = 3;   // as many may always be set aside
+inline constexpr double kUnreachableShareMax =
+    0.05;  // above this share of deaf machines the fault is on our side
+inline constexpr std::size_t kUnreachableLeast = 3;  // as many may always be set aside
 inline constexpr double kUnreachableHeartbeatS =
     6;  // s: a worker that hears no answer heartbeats again 5 s later, elsewhere
 inline constexpr double kShowTokenS =
     1.0;  // s: a worker that heard a higher token heartbeats again within half a second
-inline constexpr int kAsksMost = 3;        // questions to a machine of an earlier leader that stays silent
-inline constexpr double kAskAgainS = 0.5;  // s between them
-inline constexpr int kOpenMost = 2;        // direct calls to one machine at a time
+inline constexpr int kProbesMost = 3;  // questions to a machine of an earlier leader that stays unresponsive
+inline constexpr double kProbeAgainS = 0.5;  // s between them
+inline constexpr int kOpenMost = 2;          // direct calls to one machine at a time
 
 // ---- failures ----
 inline constexpr double kBackoffFirstS = 2.0;    // s: after a job's first failure
@@ -212,10 +214,10 @@
 inline constexpr double kAvoidS = 120.0;         // s: a job stays away from a machine where it failed
 inline constexpr double kUnresponsiveHeartbeats =
     4.0;  // heartbeat intervals of silence before a machine is doubted...
-inline constexpr double kSilentMinS =
+inline constexpr double kUnresponsiveMinS =
     11.0;  // s: ...but no sooner: a worker needs 4 s + 1 s for each dead controller
-inline constexpr double kSilentShareMax =
-    0.35;  // above this share of silent machines the network is at fault
+inline constexpr double kUnresponsiveShareMax =
+    0.35;  // above this share of unresponsive machines the network is at fault
 
 // ---- fleet ----
 inline constexpr double kFleetEveryS = 1.0;     // s: how often the fleet is reviewed
@@ -232,13 +234,13 @@
 inline constexpr double kBootQuantile = 0.9;    // of them are no later than what counts as usual...
 inline constexpr double kBootLate = 1.15;     // ...and this much above it, or above the nominal time, is late
 inline constexpr double kNoCapacityS = 20.0;  // s: a type and zone that refused is asked again after this
-inline constexpr int kRentMax = 50;           // machines in one rental request (the cloud's limit)
-inline constexpr int kRentsAtOnce = 4;        // such requests at once for one type, zone and kind
-inline constexpr std::size_t kFewUnseen =
-    3;  // silent machines of an earlier leader that are given up early...
-inline constexpr double kFewUnseenShare = 0.02;  // ...or up to this share of all
-inline constexpr std::size_t kReturnMax = 100;   // machines in one return request (the cloud's limit)
-inline constexpr double kIdleReturnS = 3.0;      // s: an idle machine nobody is expected to need goes back
+inline constexpr int kProvisionMax = 50;      // machines in one provisioning request (the cloud's limit)
+inline constexpr int kProvisionsAtOnce = 4;   // such requests at once for one type, zone and kind
+inline constexpr std::size_t kFewUnreconciled =
+    3;  // unresponsive machines of an earlier leader that are given up early...
+inline constexpr double kFewUnreconciledShare = 0.02;  // ...or up to this share of all
+inline constexpr std::size_t kReturnMax = 100;         // machines in one return request (the cloud's limit)
+inline constexpr double kIdleReturnS = 3.0;  // s: an idle machine nobody is expected to need goes back
 inline constexpr double kForgetListLags =
     6.0;                                   // list lags after which a machine that is in no list is forgotten
 inline constexpr double kIdleBoots = 0.5;  // boot times that an idle machine is kept while work still arrives
@@ -254,18 +256,19 @@
 inline constexpr int kZoneOutLeast = 3;  // machines that must be quiet before their zone counts as cut off
 inline constexpr double kZoneOutS =
     60.0;  // s that a zone counts as cut off after the last sign of it: some boot times
-inline constexpr double kFleetTellS = 10.0;  // s between two debug lines about what the fleet should be
-inline constexpr double kFleetStepS = 0.5;   // s between two looks at what the cloud should be asked
-inline constexpr double kNeedFallS = 15;     // s: time constant with which the reckoned need for cores falls
-inline constexpr double kNeedLeast = 2;      // cores: a rest of a fallen need that counts as none
-inline constexpr double kOverpricedRatio =
-    1.3;  // times the price a core of what is offered: dearer room is replaced; spot prices move by a third
+inline constexpr double kFleetLogEveryS = 10.0;  // s between two debug lines about what the fleet should be
+inline constexpr double kFleetStepS = 0.5;       // s between two looks at what the cloud should be asked
+inline constexpr double kNeedFallS = 15;  // s: time constant with which the reckoned need for cores falls
+inline constexpr double kNeedLeast = 2;   // cores: a rest of a fallen need that counts as none
+inline constexpr double kOverpricedRatio = 1.3;  // times the price a context of what is offered: dearer room
+                                                 // is replaced; spot prices move by a third
 inline constexpr double kWorthBoots = 1;  // boot times of work that a machine rented for a backlog must find
 inline constexpr double kLastTasksRuns =
     0.5;                                  // runs before the end at which the last tasks should be under way
 inline constexpr double kTightBoots = 2;  // boots within which work is due whose room should stay
 inline constexpr double kLateWindowRuns = 3;  // run times over which late work is spread
-inline constexpr double kRentRetryS = 1.0;    // s before an unanswered rental is repeated under its name
+inline constexpr double kProvisionRetryS =
+    1.0;                                   // s before an unanswered provisioning is repeated under its name
 inline constexpr double kGoneKeptS = 900;  // s that a returned machine's name is kept, against late messages
 
 // ---- policy scripts ----
--- a/src/coordination/array_placement.cpp
+++ b/src/coordination/array_placement.cpp
@@ -14,8 +14,8 @@
 
 // An unplaced task may be on a machine that an earlier leader used and that has proved nothing yet.
 bool Scheduler::blocked(const Job& job) const {
-  if (!job.before || unseen_.empty()) return false;
-  return std::any_of(unseen_.begin(), unseen_.end(), [&](const auto& entry) {
+  if (!job.before || unreconciled_.empty()) return false;
+  return std::any_of(unreconciled_.begin(), unreconciled_.end(), [&](const auto& entry) {
     return kind_allowed(job.spec, std::get<0>(entry.first), std::get<1>(entry.first),
                         std::get<2>(entry.first));
   });
@@ -25,23 +25,23 @@
   TaskRun run;
   run.machine = machine.name;
   run.attempt = attempt;
-  run.planned_at = core_.now.steady;
+  run.planned_at = context_.now.steady;
   place_run(job, index, std::move(run), machine);
 }
 
 // Whether a task of the array may go to the machine now, and how many by count.
-bool Scheduler::array_fits(Job& job, Machine& machine, const Room& room, std::uint32_t& slots) {
-  const double now = core_.now.steady;
+bool Scheduler::array_fits(Job& job, Machine& machine, const Resources& free, std::uint32_t& slots) {
+  const double now = context_.now.steady;
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
     return false;
-  if (!kind_allowed(job.spec, machine.type, machine.zone, machine.spot) || !room.fits(job.spec) ||
+  if (!kind_allowed(job.spec, machine.type, machine.zone, machine.spot) || !free.fits(job.spec) ||
       blocked(job))
     return false;
   if (const auto avoided = job.avoid.find(machine.name); avoided != job.avoid.end() && now < avoided->second)
     return false;
   const auto kept = gang_kept_.find(job.spec.team);
-  if (!core_.quota.allows(job.spec, 1, kept == gang_kept_.end() ? 0 : kept->second)) return false;
-  slots = slots_by_count(core_, job, machine);
+  if (!context_.quota.allows(job.spec, 1, kept == gang_kept_.end() ? 0 : kept->second)) return false;
+  slots = slots_by_count(context_, job, machine);
   // One that goes before the others by its age begins with a single task: the rest keeps its place in the
   // order of due times. Whole arrays let through by age made others late that were in time.
   if (waited_too_long(job)) slots = job.runs.empty() ? std::min<std::uint32_t>(slots, 1) : 0;
@@ -50,22 +50,23 @@
     slots = job.runs.empty() ? std::min<std::uint32_t>(slots, 1) : 0;
   if (slots == 0) return false;
   return !(job.spec.one_zone || job.spec.spread) ||
-         zone_allowed(job.spec, zones_of(core_, job, stray_machines_), machine.zone);
+         zone_allowed(job.spec, zones_of(context_, job, unknown_task_machines_), machine.zone);
 }
 
-// Arrays go into the room that the machine's own heartbeat shows, in the order of the teams' queues.
+// Arrays go into the free that the machine's own heartbeat shows, in the order of the teams' queues.
 std::uint32_t Scheduler::fill(Machine& machine) {
-  const double now = core_.now.steady;
-  if (!takes_work(core_, machine) || machine.winding_down) return 0;
+  const double now = context_.now.steady;
+  if (!takes_work(context_, machine) || machine.draining) return 0;
   if (machine.reserved_by && now < machine.reserved_until) return 0;
   if (queues_dirty_ && now >= next_queues_) sort_queues();
-  if (queues_.empty() || free_room(core_, machine).cpus <= 0) return 0;
+  if (queues_.empty() || free_resources(context_, machine).cpus <= 0) return 0;
   if (now >= next_survey_) survey();
-  // Room that just came free is the waiting gangs' first: arrays that took it would be stopped again at once.
+  // Resources that just came free is the waiting gangs' first: arrays that took it would be stopped again at
+  // once.
   if (!machine.offered && !waiting_gangs_.empty() && suits_gangs(machine)) return 0;
-  // Machines that should be filled before this one have room for all that waits: they heartbeat as well,
+  // Machines that should be filled before this one have free for all that waits: they heartbeat as well,
   // before long.
-  if (survey_.better[room_class(machine)] > survey_.array_demand) return 0;
+  if (survey_.better[capacity_class(machine)] > survey_.array_demand) return 0;
   struct Turn {
     std::vector<Job*>* queue;
     std::size_t at;
@@ -73,12 +74,12 @@
     Rank rank;
   };
   std::vector<Turn> turns;
-  Room room = free_room(core_, machine);
+  Resources free = free_resources(context_, machine);
   // Moves on to the team's first job that may go here; false when there is none.
   const auto next = [&](Turn& turn) {
     for (; turn.at < turn.queue->size(); ++turn.at) {
       Job& job = *(*turn.queue)[turn.at];
-      if (!array_fits(job, machine, room, turn.slots)) continue;
+      if (!array_fits(job, machine, free, turn.slots)) continue;
       turn.rank = rank(job, 1);
       return true;
     }
@@ -94,13 +95,13 @@
                                  [](const Turn& a, const Turn& b) { return a.rank < b.rank; });
     Job& job = *(*best->queue)[best->at];
     plan(job, *job.next_task(), machine, next_attempt());
-    room.take(job.spec);
+    free.take(job.spec);
     survey_.array_demand -= job.spec.cpus;
     ++placed;
-    // The room is smaller now, and the team's share larger.
+    // The free is smaller now, and the team's share larger.
     const auto at = static_cast<std::size_t>(best - turns.begin());
     for (std::size_t i = turns.size(); i-- > 0;)
-      if ((i == at || !room.fits((*turns[i].queue)[turns[i].at]->spec)) && !next(turns[i]))
+      if ((i == at || !free.fits((*turns[i].queue)[turns[i].at]->spec)) && !next(turns[i]))
         turns.erase(turns.begin() + static_cast<std::ptrdiff_t>(i));
   }
   return placed;
@@ -110,9 +111,9 @@
 // commands.
 void Scheduler::fill_idle() {
   if (!directly() || queues_.empty() || survey_.array_demand <= 0) return;
-  for (auto& [name, machine] : core_.machines.all()) {
-    if (!direct_room() || !ask_budget_.covers(1)) return;
-    if (machine.asking > 0 || !machine.recorded || machine.unheard > 0 ||
+  for (auto& [name, machine] : context_.machines.all()) {
+    if (!can_send_direct() || !probe_budget_.covers(1)) return;
+    if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
         machine.direct.size() >= c::kDirectListMax)
       continue;
     if (fill(machine) > 0) launch_directly(machine);
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/cancellations.cpp
@@ -11,7 +11,7 @@
 using protocol::PeerMessage;
 
 namespace {
-// A probe is the steady moment of its sending; the asking process reads it back from the echo.
+// A probe is the steady moment of its sending; the open_probes process reads it back from the echo.
 std::uint64_t probe_time(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * 1000)); }
 double probe_sent_at(std::uint64_t probe) { return static_cast<double>(probe) / 1000; }
 }  // namespace
@@ -20,7 +20,7 @@
   const double apart =
       (settings.cancel_s - settings.lease_s) * (1 - 2 * c::kClockDrift) - c::kCancellationMarginS;
   strict_ = apart < c::kLeastAnswerS;
-  answer_s_ = strict_ ? c::kStrictAnswerS : std::min(apart, c::kCaretakerBoundS);
+  answer_s_ = strict_ ? c::kStrictAnswerS : std::min(apart, c::kDegradedBoundS);
   clock_error_s_ = settings.clock_error_ms / 1000;
   for (const auto& peer : settings.peers) peers_[peer.member];
 }
--- a/src/coordination/change_log.cpp
+++ b/src/coordination/change_log.cpp
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-ChangeLog::ChangeLog(Core& core, const Election& election, Events events)
-    : core_(core), election_(election), events_(std::move(events)) {}
+ChangeLog::ChangeLog(ControllerContext& context, const Election& election, Events events)
+    : context_(context), election_(election), events_(std::move(events)) {}
 
 WriteOp ChangeLog::entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
   boost::json::object value;
@@ -44,7 +44,7 @@
 
 void ChangeLog::begin(Done done) {
   end();
-  core_.cancellations.change_log_requested(core_.now.steady);
+  context_.cancellations.change_log_requested(context_.now.steady);
   load("", 0, std::move(done));
 }
 
@@ -63,34 +63,35 @@
 // What is there before the jobs are read needs no other attention. The watch begins where the first page was
 // made, so no entry is missed; after a restart of all controllers there may be more than one page.
 void ChangeLog::load(const std::string& after, std::uint64_t watch_from, Done done) {
-  core_.state.list(kPrefix, after,
-                   [this, after, watch_from, done = std::move(done),
-                    generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
-                     if (generation != generation_) return;
-                     if (!page) return done(false);
-                     for (const auto& item : page->items) delete_entry(item.key, item.mod_revision);
-                     const auto from = after.empty() ? page->revision : watch_from;
-                     if (page->more && !page->items.empty()) return load(page->items.back().key, from, done);
-                     watch(from);
-                     done(true);
-                   });
+  context_.state.list(kPrefix, after,
+                      [this, after, watch_from, done = std::move(done),
+                       generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
+                        if (generation != generation_) return;
+                        if (!page) return done(false);
+                        for (const auto& item : page->items) delete_entry(item.key, item.mod_revision);
+                        const auto from = after.empty() ? page->revision : watch_from;
+                        if (page->more && !page->items.empty())
+                          return load(page->items.back().key, from, done);
+                        watch(from);
+                        done(true);
+                      });
 }
 
 void ChangeLog::watch(std::uint64_t after) {
-  core_.state.watch(kPrefix, after,
-                    [this, after, generation = generation_](const bookkeeping::WatchResult& result) {
-                      if (generation != generation_) return;
-                      for (const auto& event : result.events) take_event(event);
-                      if (result.good) return watch(std::max(after, result.revision));
-                      if (result.too_old) return events_.lost();  // what happened meanwhile is unknown
-                      // No answer: pause by way of a read, then watch on from the same place.
-                      core_.state.read(
-                          "term",
-                          [this, after, generation](const bookkeeping::StateRead&) {
-                            if (generation == generation_) watch(after);
-                          },
-                          bookkeeping::StateClient::Urgency::kFirst);
-                    });
+  context_.state.watch(kPrefix, after,
+                       [this, after, generation = generation_](const bookkeeping::WatchResult& result) {
+                         if (generation != generation_) return;
+                         for (const auto& event : result.events) take_event(event);
+                         if (result.good) return watch(std::max(after, result.revision));
+                         if (result.too_old) return events_.lost();  // what happened meanwhile is unknown
+                         // No answer: pause by way of a read, then watch on from the same place.
+                         context_.state.read(
+                             "term",
+                             [this, after, generation](const bookkeeping::StateRead&) {
+                               if (generation == generation_) watch(after);
+                             },
+                             bookkeeping::StateClient::Urgency::kFirst);
+                       });
 }
 
 void ChangeLog::take_event(const bookkeeping::StateEvent& event) {
@@ -107,7 +108,7 @@
 // An entry that can't be deleted now, since too much waits to be written, is tried again: what is left lying
 // would be read by every leader after this one.
 void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
-  core_.writer.submit(
+  context_.writer.submit(
       {{key, mod_revision, std::nullopt}},
       [this, key, mod_revision, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
@@ -117,7 +118,7 @@
 }
 
 void ChangeLog::delete_uncollected() {
-  while (!uncollected_.empty() && core_.writer.waiting() < c::kQuietWriter) {
+  while (!uncollected_.empty() && context_.writer.waiting() < c::kQuietWriter) {
     const auto [key, mod_revision] = uncollected_.back();
     uncollected_.pop_back();
     delete_entry(key, mod_revision);
@@ -133,36 +134,36 @@
 
 void ChangeLog::start_read_if_due() {
   if (reading_) return;
-  const double shortest_pause_s = c::kChangeLogCalls / core_.settings.state_rps;
+  const double shortest_pause_s = c::kChangeLogCalls / context_.settings.state_rps;
   double pause_s = c::kLoadRetryS;
   if (!waiting_for_next_.empty())
     pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
   else if (election_.caught_up())
     pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
-  if (core_.now.steady < read_began_ + pause_s) return;
+  if (context_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
-  read_began_ = core_.now.steady;
+  read_began_ = context_.now.steady;
   waiting_for_open_ = std::move(waiting_for_next_);
   waiting_for_next_.clear();
-  core_.cancellations.change_log_requested(core_.now.steady);
+  context_.cancellations.change_log_requested(context_.now.steady);
   read("");
 }
 
 // Reads on from the entry `after`. What the whole read shows proves up to when all that others wrote is known
 // here. The entries are deleted by way of the watch.
 void ChangeLog::read(const std::string& after) {
-  core_.state.list(kPrefix, after,
-                   [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
-                     if (generation != generation_) return;
-                     if (!page) return finish_read(false);
-                     for (const auto& item : page->items) {
-                       if (!is_cancellation(item.value)) continue;
-                       if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
-                     }
-                     if (page->more && !page->items.empty()) return read(page->items.back().key);
-                     core_.cancellations.change_log_read(election_.last_renewed());
-                     finish_read(true);
-                   });
+  context_.state.list(kPrefix, after,
+                      [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
+                        if (generation != generation_) return;
+                        if (!page) return finish_read(false);
+                        for (const auto& item : page->items) {
+                          if (!is_cancellation(item.value)) continue;
+                          if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
+                        }
+                        if (page->more && !page->items.empty()) return read(page->items.back().key);
+                        context_.cancellations.change_log_read(election_.last_renewed());
+                        finish_read(true);
+                      });
 }
 
 void ChangeLog::finish_read(bool read) {
--- a/src/coordination/change_log.hpp
+++ b/src/coordination/change_log.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/election.hpp"
 
 namespace robinford::coordination {
@@ -24,7 +24,7 @@
   };
   using Done = std::function<void(bool read)>;
 
-  ChangeLog(Core& core, const Election& election, Events events);
+  ChangeLog(ControllerContext& context, const Election& election, Events events);
 
   // For a new leader, before it reads the jobs: deletes what is there and watches from there on. `done` tells
   // whether the log could be read; if not, this may be called again.
@@ -51,7 +51,7 @@
   void start_read_if_due();
   void delete_entry(const std::string& key, std::uint64_t mod_revision);
 
-  Core& core_;
+  ControllerContext& context_;
   const Election& election_;
   Events events_;
   std::uint64_t generation_ = 0;  // of leadership: answers to calls of an earlier one are ignored
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -19,69 +19,69 @@
 Controller::Controller(const protocol::Settings& settings, const protocol::Policy& policy,
                        std::uint64_t incarnation, std::uint64_t seed,
                        const quota::LeaseOptions& lease_options)
-    : core_(settings, policy, incarnation, seed),
-      versions_(core_),
-      election_(core_, {[this] {
-                          core_.state.set_leading(true);
-                          core_.metrics.count("elections_won");
-                          core_.cancellations.elected();
-                          quota_leases_.elected();
-                          fleet_.begin();
-                          scheduler_.begin();
-                          broadcast();
-                        },
-                        [this] {
-                          core_.state.set_leading(false);
-                          core_.cancellations.ended();
-                          quota_leases_.lost();
-                          fleet_.end();
-                          job_requests_.end();
-                          scheduler_.end();
-                          broadcast();
-                        },
-                        [this](bool caretaker) {
-                          core_.writer.set_paused(caretaker);
-                          broadcast();
-                        }}),
-      quota_leases_(core_, election_, versions_, lease_options,
+    : context_(settings, policy, incarnation, seed),
+      versions_(context_),
+      election_(context_, {[this] {
+                             context_.state.set_leading(true);
+                             context_.metrics.count("elections_won");
+                             context_.cancellations.elected();
+                             quota_leases_.elected();
+                             fleet_.begin();
+                             scheduler_.begin();
+                             broadcast();
+                           },
+                           [this] {
+                             context_.state.set_leading(false);
+                             context_.cancellations.ended();
+                             quota_leases_.lost();
+                             fleet_.end();
+                             job_requests_.end();
+                             scheduler_.end();
+                             broadcast();
+                           },
+                           [this](bool degraded) {
+                             context_.writer.set_paused(degraded);
+                             broadcast();
+                           }}),
+      quota_leases_(context_, election_, versions_, lease_options,
                     [this](const std::string& member, std::string body) {
                       PeerMessage message;
                       message.kind = PeerKind::kQuota;
                       message.body = std::move(body);
                       send(member, std::move(message));
                     }),
-      scheduler_(core_, election_, versions_,
+      scheduler_(context_, election_, versions_,
                  {[this](std::uint64_t key, int status, std::vector<protocol::Command> commands) {
                     answer_heartbeat(key, status, std::move(commands), election_.term());
                   },
                   [this](const DirectCall& call) { direct(call); }}),
-      fleet_(core_, election_, scheduler_),
-      job_requests_(core_, election_, scheduler_, versions_, [this](protocol::JobId id) {
+      fleet_(context_, election_, scheduler_),
+      job_requests_(context_, election_, scheduler_, versions_, [this](protocol::JobId id) {
         const auto leader = leader_member();
-        if (leader.empty() || leader == core_.settings.member) return;
+        if (leader.empty() || leader == context_.settings.member) return;
         PeerMessage message;
         message.kind = PeerKind::kJobChanged;
         message.job = id;
         send(leader, std::move(message));
       }) {
-  core_.job_over = [this](protocol::JobId id, bookkeeping::FinalState state) {
+  context_.job_over = [this](protocol::JobId id, bookkeeping::FinalState state) {
     job_requests_.job_over(id, state);
   };
   if (lease_options.enabled) versions_.offer_quota_leases();
-  for (const auto& peer : core_.settings.peers) peers_[peer.member];
-  next_key_ = (core_.random() >> c::kKeyBits) + 1;
+  for (const auto& peer : context_.settings.peers) peers_[peer.member];
+  next_key_ = (context_.random() >> c::kKeyBits) + 1;
 }
 
 void Controller::step(const protocol::Moment& now) {
-  core_.now = now;
-  core_.state.tick(now.steady);
+  context_.now = now;
+  context_.state.tick(now.steady);
 }
 
-void Controller::finish_step() { core_.writer.pump(core_.now.steady); }
+void Controller::finish_step() { context_.writer.pump(context_.now.steady); }
 
 protocol::Outbox Controller::take_outbox() {
   protocol::Outbox out;
-  std::swap(out, core_.out);
+  std::swap(out, context_.out);
   return out;
 }
 
@@ -123,7 +123,7 @@
   step(now);
   const std::string path = without_query(request.target);
   const auto reply = [&](int status, int retry, std::string body, bool text = false) {
-    core_.out.replies.push_back({request.token, status, retry, std::move(body), text});
+    context_.out.replies.push_back({request.token, status, retry, std::move(body), text});
   };
   const auto wrong_method = [&] { reply(405, 0, protocol::error_json("method not allowed")); };
   const std::string jobs = n::kPathJobs;
@@ -136,16 +136,16 @@
       reply(503, c::kRetryAfterS, protocol::error_json("not ready"));
   } else if (path == n::kPathMetrics) {
     if (request.method != "GET") return wrong_method();
-    core_.metrics.gauge("term", static_cast<double>(election_.term()));
-    core_.metrics.gauge("leading", election_.valid() ? 1 : 0);
-    core_.metrics.gauge("jobs_live", static_cast<double>(core_.jobs.all().size()));
-    core_.metrics.gauge("machines_known", static_cast<double>(core_.machines.all().size()));
-    core_.metrics.gauge("state_rejected", static_cast<double>(core_.state.rejected()));
-    core_.metrics.gauge("state_throttled", static_cast<double>(core_.state.throttled()));
-    core_.metrics.gauge("state_pace", core_.state.pace());
-    core_.metrics.gauge("requests_waiting", static_cast<double>(waiting_.size()));
+    context_.metrics.gauge("term", static_cast<double>(election_.term()));
+    context_.metrics.gauge("leading", election_.valid() ? 1 : 0);
+    context_.metrics.gauge("jobs_live", static_cast<double>(context_.jobs.all().size()));
+    context_.metrics.gauge("machines_known", static_cast<double>(context_.machines.all().size()));
+    context_.metrics.gauge("state_rejected", static_cast<double>(context_.state.rejected()));
+    context_.metrics.gauge("state_throttled", static_cast<double>(context_.state.throttled()));
+    context_.metrics.gauge("state_pace", context_.state.pace());
+    context_.metrics.gauge("requests_waiting", static_cast<double>(waiting_.size()));
     quota_leases_.set_gauges();
-    reply(200, 0, core_.metrics.page(), true);
+    reply(200, 0, context_.metrics.page(), true);
   } else if (path == n::kPathHeartbeat || path == jobs || path.starts_with(jobs + "/")) {
     Waiting waiting;
     waiting.method = request.method;
@@ -164,8 +164,8 @@
       return reply(404, 0, protocol::error_json("no such job"));
     waiting.poll = !post;
     // Polls take no place from submissions: a flood of them once had these turned away.
-    if (!waiting.is_heartbeat && places_taken(waiting) >= core_.per_memory(c::kUserRequestsPerMb)) {
-      core_.metrics.count("requests_shed");
+    if (!waiting.is_heartbeat && places_taken(waiting) >= context_.per_memory(c::kUserRequestsPerMb)) {
+      context_.metrics.count("requests_shed");
       return reply(503, c::kRetryAfterS, protocol::error_json("too many requests"));
     }
     if (waiting.is_heartbeat) {
@@ -189,8 +189,8 @@
 void Controller::on_result(const protocol::Moment& now, std::uint64_t call,
                            const protocol::CallResult& result) {
   step(now);
-  core_.calls.on_result(call, result);
-  if (election_.role() == Role::kLooking && !ending_) election_.tick();
+  context_.calls.on_result(call, result);
+  if (election_.role() == Role::kDiscovering && !ending_) election_.tick();
   finish_step();
 }
 
@@ -241,10 +241,10 @@
 // Not ready only when this controller can serve nobody and another one says that it could.
 bool Controller::ready() const {
   if (ending_) return false;
-  if (scheduler_.knows_all_jobs() || core_.state.reachable(core_.now.steady)) return true;
+  if (scheduler_.knows_all_jobs() || context_.state.reachable(context_.now.steady)) return true;
   bool other_can = false;
   for (const auto& [member, peer] : peers_) {
-    if (core_.now.steady - peer.last_contact > c::kPeerFreshS) continue;
+    if (context_.now.steady - peer.last_contact > c::kPeerFreshS) continue;
     if (peer.up && peer.leading && peer.ready) return true;
     other_can = other_can || peer.state_ok;
   }
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/election.hpp"
 #include "coordination/fleet.hpp"
 #include "coordination/job_requests.hpp"
@@ -33,7 +33,7 @@
   const Election& election() const { return election_; }
   const Scheduler& scheduler() const { return scheduler_; }
   Scheduler& scheduler() { return scheduler_; }
-  Core& core() { return core_; }
+  ControllerContext& context() { return context_; }
   const QuotaLeases& quota_leases() const { return quota_leases_; }
 
  private:
@@ -76,7 +76,7 @@
   // A leader that takes too many heartbeats itself names another controller for them.
   std::string lighter_member();
   void direct(const DirectCall& call);
-  void put_question(const protocol::PeerMessage& ask);
+  void carry_out_probe(const protocol::PeerMessage& probe);
   void flush(const std::string& member);
   std::string leader_member() const;
   bool ready() const;
@@ -85,7 +85,7 @@
   void unpark();
   std::uint64_t add(Waiting waiting);
 
-  Core core_;
+  ControllerContext context_;
   PeerVersions versions_;
   Election election_;
   QuotaLeases quota_leases_;
@@ -102,8 +102,8 @@
   std::size_t changes_waiting_ = 0;  // submissions and cancellations in progress, the same way
   std::size_t parked_ = 0, forwarded_ = 0;
   std::map<std::string, std::string> batches_;  // frames being filled, by member
-  // What the leader heard last of the machines that heartbeat here: a heartbeat that changes nothing is a few
-  // bytes.
+  // What the leader last_contact last of the machines that heartbeat here: a heartbeat that changes nothing
+  // is a few bytes.
   struct LastHeartbeat {
     std::string leader;
     std::uint64_t term = 0, agent_epoch = 0, seq = 0;
@@ -111,8 +111,8 @@
   };
   std::map<std::string, LastHeartbeat> last_heartbeats_;
   std::map<std::uint64_t, double>
-      delegated_;              // direct calls that another controller makes for us, with their time limit
-  std::size_t questions_ = 0;  // calls that we make for a leader
+      delegated_;                // direct calls that another controller makes for us, with their time limit
+  std::size_t peer_probes_ = 0;  // calls that we make for a leader
   double heartbeat_window_began_ = 0;
   std::size_t heartbeats_taken_ = 0, next_peer_ = 0;
   double next_status_broadcast_ = 0;
--- a/src/coordination/core.hpp
+++ b/src/coordination/controller_context.hpp
@@ -15,17 +15,17 @@
 #include "bookkeeping/writer.hpp"
 #include "constants.hpp"
 #include "coordination/boot_times.hpp"
-#include "coordination/metrics.hpp"
 #include "coordination/cancellations.hpp"
+#include "coordination/metrics.hpp"
 #include "protocol/events.hpp"
 #include "protocol/policy.hpp"
 #include "protocol/settings.hpp"
 
 namespace robinford::coordination {
 
-struct Core {
-  Core(const protocol::Settings& s, const protocol::Policy& p, std::uint64_t own_incarnation,
-       std::uint64_t seed)
+struct ControllerContext {
+  ControllerContext(const protocol::Settings& s, const protocol::Policy& p, std::uint64_t own_incarnation,
+                    std::uint64_t seed)
       : settings(s),
         policy(p),
         incarnation(own_incarnation),
--- a/src/coordination/dependencies.cpp
+++ b/src/coordination/dependencies.cpp
@@ -16,8 +16,8 @@
 using protocol::JobId;
 using protocol::Priority;
 
-Dependencies::Dependencies(Core& core, JobLookup& lookup, Events events)
-    : core_(core), lookup_(lookup), events_(std::move(events)) {}
+Dependencies::Dependencies(ControllerContext& context, JobLookup& lookup, Events events)
+    : context_(context), lookup_(lookup), events_(std::move(events)) {}
 
 void Dependencies::clear() {
   ++generation_;
@@ -33,7 +33,7 @@
   const auto needed = job.spec.dependencies;
   graph_.add(id, needed);
   for (const auto dependency : needed) {
-    if (const auto state = core_.jobs.final_state(dependency)) {
+    if (const auto state = context_.jobs.final_state(dependency)) {
       finished(dependency, *state);
       if (!graph_.waits(id)) return;
     } else if (known_unfinished(dependency)) {
@@ -46,7 +46,7 @@
 }
 
 bool Dependencies::known_unfinished(JobId id) {
-  const Job* job = core_.jobs.find(id);
+  const Job* job = context_.jobs.find(id);
   return job != nullptr && !job->over();
 }
 
@@ -55,15 +55,15 @@
   graph_.remove(id);
   const auto outcome = graph_.finished(id, state);
   for (const auto dependent : outcome.cancelled)
-    if (Job* job = core_.jobs.find(dependent)) events_.cancelled(*job);
+    if (Job* job = context_.jobs.find(dependent)) events_.cancelled(*job);
   for (const auto dependent : outcome.ready)
-    if (Job* job = core_.jobs.find(dependent); job != nullptr && job->state == JobState::kWaiting)
+    if (Job* job = context_.jobs.find(dependent); job != nullptr && job->state == JobState::kWaiting)
       events_.ready(*job);
 }
 
 void Dependencies::tick() {
-  if (unknown_.empty() || core_.now.steady < next_read_) return;
-  next_read_ = core_.now.steady + c::kLoadRetryS;
+  if (unknown_.empty() || context_.now.steady < next_read_) return;
+  next_read_ = context_.now.steady + c::kLoadRetryS;
   std::vector<JobId> to_read;
   for (const auto id : unknown_)
     if (to_read.size() + reading_.size() < c::kDependencyReads && !reading_.contains(id))
@@ -81,18 +81,18 @@
     if (generation != generation_) return;
     reading_.erase(id);
     // More may wait for their turn: no pause while answers come.
-    if (known.what != JobLookup::Known::What::kUnknown) next_read_ = core_.now.steady;
+    if (known.what != JobLookup::Known::What::kUnknown) next_read_ = context_.now.steady;
     switch (known.what) {
       case JobLookup::Known::What::kFinal:
         return finished(id, known.state);
       case JobLookup::Known::What::kLive:
         if (!known_unfinished(id)) events_.admitted(id);
-        next_read_ = core_.now.steady + c::kLoadRetryS;
+        next_read_ = context_.now.steady + c::kLoadRetryS;
         return;
       case JobLookup::Known::What::kNever:
         if (missing_.insert(id).second)
           spdlog::error("jobs wait for {}, of which there is no record", protocol::job_id_text(id));
-        next_read_ = core_.now.steady + c::kVersionsEveryS;
+        next_read_ = context_.now.steady + c::kVersionsEveryS;
         return;
       case JobLookup::Known::What::kUnknown:
         return;
@@ -101,7 +101,7 @@
 }
 
 bool Dependencies::release_decided() {
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kWaiting) continue;
     const auto& needed = graph_.dependencies(id);
     const bool held = std::any_of(needed.begin(), needed.end(), [this](JobId dependency) {
@@ -113,13 +113,13 @@
 }
 
 void Dependencies::inherit(const std::function<double(const Job&)>& duration_s) {
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     job->inherited_priority = Priority::kLow;
     job->inherited_due_ms = std::numeric_limits<double>::infinity();
   }
   graph_.visit_backwards([&](JobId dependent, JobId dependency) {
-    const Job* later = core_.jobs.find(dependent);
-    Job* earlier = core_.jobs.find(dependency);
+    const Job* later = context_.jobs.find(dependent);
+    Job* earlier = context_.jobs.find(dependency);
     if (later == nullptr || earlier == nullptr) return;
     earlier->inherited_priority = std::max(earlier->inherited_priority, later->priority());
     const double due_ms = std::min(later->due_ms(), later->inherited_due_ms);
--- a/src/coordination/dependencies.hpp
+++ b/src/coordination/dependencies.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "bookkeeping/dependency_graph.hpp"
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/job_lookup.hpp"
 
 namespace robinford::coordination {
@@ -20,7 +20,7 @@
     std::function<void(bookkeeping::Job&)> cancelled;  // something that it needs is cancelled
     std::function<void(protocol::JobId)> admitted;  // accepted by another controller, not in the ledger yet
   };
-  Dependencies(Core& core, JobLookup& lookup, Events events);
+  Dependencies(ControllerContext& context, JobLookup& lookup, Events events);
 
   void clear();  // of a new term, or of none
   // A waiting job is in the ledger from now on.
@@ -42,7 +42,7 @@
   void read(protocol::JobId id);
   bool known_unfinished(protocol::JobId id);
 
-  Core& core_;
+  ControllerContext& context_;
   JobLookup& lookup_;
   Events events_;
   bookkeeping::DependencyGraph graph_;
--- a/src/coordination/direct.cpp
+++ b/src/coordination/direct.cpp
@@ -23,7 +23,7 @@
 
 void Scheduler::direct(Machine& machine, std::vector<Command> commands) {
   if (machine.addr.empty() || !election_.owns_fencing_token()) return;
-  ask_budget_.take(1);
+  probe_budget_.take(1);
   OpenDirect open{machine.name,
                   machine.saw_term ? machine.agent_epoch : machine.agent_epoch_guess,
                   machine.saw_term ? machine.agent_epoch : 0,
@@ -32,9 +32,9 @@
   for (const auto& command : commands)
     if (command.op == Command::Op::kLaunch) open.launches.emplace_back(command.task, command.attempt);
   const auto id = ++direct_counter_;
-  ++machine.asking;
-  machine.asked_at = core_.now.steady;
-  core_.metrics.count("direct_calls");
+  ++machine.open_probes;
+  machine.last_probe_at = context_.now.steady;
+  context_.metrics.count("direct_calls");
   const DirectCall call{id, machine.addr, open.agent_epoch, std::move(commands)};
   open_direct_.emplace(id, std::move(open));
   actions_.direct(call);
@@ -45,84 +45,87 @@
   if (found == open_direct_.end()) return;
   const OpenDirect open = std::move(found->second);
   open_direct_.erase(found);
-  Machine* machine = core_.machines.find(open.machine);
+  Machine* machine = context_.machines.find(open.machine);
   if (machine == nullptr || machine->state == MachineState::kGone || phase_ == LeaderPhase::kNone ||
       phase_ == LeaderPhase::kLoading)
     return;
-  --machine->asking;
-  const double now = core_.now.steady;
+  --machine->open_probes;
+  const double now = context_.now.steady;
   if (heartbeat == nullptr || (status != 200 && status != 409) || heartbeat->machine != machine->name) {
-    ++machine->ask_failures;
-    if (machine->unseen && machine->ask_failures < c::kAsksMost) to_ask_.push_back(machine->name);
+    ++machine->probe_failures;
+    if (machine->unreconciled && machine->probe_failures < c::kProbesMost) to_probe_.push_back(machine->name);
     // Its heartbeats come, and neither answers nor commands get there: it is deaf. Should that seem true of
     // many, the fault is ours.
     const bool suspect =
-        (machine->unheard >= c::kUnheardMost || machine->unproven >= c::kUnprovenMost) &&
-        now - machine->last_heartbeat < 2 * core_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatS;
-    if (suspect && !machine->set_aside && machine->ask_failures < c::kAsksEnough) {
-      ask(*machine);
-    } else if (suspect && !machine->set_aside &&
-               deaf_ <
-                   c::kDeafLeast + static_cast<std::size_t>(c::kDeafShareMax * core_.machines.all().size())) {
-      ++deaf_;
-      set_aside(*machine, "it reports, and hears nothing");
+        (machine->undelivered >= c::kUndeliveredMost || machine->unproven_answers >= c::kUnprovenMost) &&
+        now - machine->last_heartbeat <
+            2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatS;
+    if (suspect && !machine->cordoned && machine->probe_failures < c::kProbesEnough) {
+      probe(*machine);
+    } else if (suspect && !machine->cordoned &&
+               unreachable_ <
+                   c::kUnreachableLeast +
+                       static_cast<std::size_t>(c::kUnreachableShareMax * context_.machines.all().size())) {
+      ++unreachable_;
+      cordon(*machine, "it reports, and hears nothing");
     }
     // A gang must not wait for the room of a machine that does not answer.
-    const auto holders = machine->holds;
-    for (const auto holder : holders) {
-      Job* job = core_.jobs.find(holder);
-      if (job == nullptr || job->gang != GangState::kHolding) continue;
-      job->avoid[machine->name] = now + c::kReservationHeartbeats * core_.settings.heartbeat_interval_s;
-      release_holds(*job);
+    const auto reserving_jobs = machine->reservations;
+    for (const auto holder : reserving_jobs) {
+      Job* job = context_.jobs.find(holder);
+      if (job == nullptr || job->gang != GangState::kReserving) continue;
+      job->avoid[machine->name] = now + c::kReservationHeartbeats * context_.settings.heartbeat_interval_s;
+      release_reservations(*job);
       JobLedger::set_gang(*job, GangState::kQueued, now);
     }
     return;
   }
   if (heartbeat->fencing_token > election_.term())
     return election_.higher_term_seen(heartbeat->fencing_token);
-  machine->unheard = 0;
-  machine->ask_failures = 0;
+  machine->undelivered = 0;
+  machine->probe_failures = 0;
   machine->agent_epoch_guess = heartbeat->agent_epoch;
   const bool went_back = machine->saw_term && std::tie(heartbeat->agent_epoch, heartbeat->seq) <
                                                   std::tie(open.known_agent_epoch, open.known_seq);
   if (went_back) {
     // Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent_epoch
     // of the same number may still come. The cloud settles that.
-    machine->reborn = true;
+    machine->agent_reset = true;
     spdlog::info("machine {} was born again and is given back", machine->name);
     MachineLedger::set_state(*machine, MachineState::kReturning);
     return;
   }
   if (status == 409 && heartbeat->fencing_token < election_.term()) {
     // Its agent_epoch was not the one we guessed, and it did not learn our token: once more.
-    if (machine->ask_failures == 0 && heartbeat->agent_epoch != open.agent_epoch) ask(*machine);
+    if (machine->probe_failures == 0 && heartbeat->agent_epoch != open.agent_epoch) probe(*machine);
     return;
   }
   if (heartbeat->fencing_token != election_.term()) return;
   if (!machine->saw_term || MachineLedger::newer(*machine, heartbeat->agent_epoch, heartbeat->seq))
     apply_heartbeat(*machine, *heartbeat, true);
   if (!may_place()) return;
-  const auto holders = machine->holds;
-  for (const auto holder : holders)
-    if (Job* job = core_.jobs.find(holder); job != nullptr && job->state == JobState::kActive)
+  const auto reserving_jobs = machine->reservations;
+  for (const auto holder : reserving_jobs)
+    if (Job* job = context_.jobs.find(holder); job != nullptr && job->state == JobState::kActive)
       check_gang(*job);
 }
 
 // The full round after a takeover does not wait for the workers: those of earlier leaders are asked, and
-// learn our token by the question itself, also where a caretaker still answers their heartbeats.
-void Scheduler::ask_unseen() {
-  for (std::size_t left = to_ask_.size(); left > 0 && ask_budget_.covers(1) && direct_room(); --left) {
-    const std::string name = std::move(to_ask_.front());
-    to_ask_.pop_front();
-    Machine* machine = core_.machines.find(name);
-    if (machine == nullptr || !machine->unseen) continue;
+// learn our token by the question itself, also where a degraded still answers their heartbeats.
+void Scheduler::probe_unreconciled() {
+  for (std::size_t left = to_probe_.size(); left > 0 && probe_budget_.covers(1) && can_send_direct();
+       --left) {
+    const std::string name = std::move(to_probe_.front());
+    to_probe_.pop_front();
+    Machine* machine = context_.machines.find(name);
+    if (machine == nullptr || !machine->unreconciled) continue;
     // One that was just answered with our token heartbeats again by itself, to show it.
-    if (machine->asking > 0 || core_.now.steady - machine->asked_at < c::kAskAgainS ||
-        (machine->unproven > 0 && core_.now.steady - machine->last_answer < c::kShowTokenS)) {
-      to_ask_.push_back(name);
+    if (machine->open_probes > 0 || context_.now.steady - machine->last_probe_at < c::kProbeAgainS ||
+        (machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kShowTokenS)) {
+      to_probe_.push_back(name);
       continue;
     }
-    ask(*machine);
+    probe(*machine);
   }
 }
 
@@ -134,7 +137,7 @@
   }
   std::vector<Command> commands;
   for (const auto& id : machine.tasks) {
-    Job* job = core_.jobs.find(id.job);
+    Job* job = context_.jobs.find(id.job);
     if (job == nullptr || job->state != JobState::kActive || commands.size() >= c::kCommandsMax) continue;
     auto& run = job->runs.at(id.index);
     if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
@@ -148,20 +151,20 @@
 // Stops also go straight to the machines: a late one does no harm, since attempts are never used twice.
 void Scheduler::send_stops() {
   if (!election_.owns_fencing_token()) return;
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   for (auto it = stopping_.begin(); it != stopping_.end();) {
-    Machine* machine = core_.machines.find(*it);
+    Machine* machine = context_.machines.find(*it);
     bool any = false;
     std::vector<Command> commands;
     if (machine != nullptr && machine->state != MachineState::kGone) {
       for (const auto& id : machine->tasks) {
-        Job* job = core_.jobs.find(id.job);
+        Job* job = context_.jobs.find(id.job);
         if (job == nullptr) continue;
         auto& run = job->runs.at(id.index);
         if (run.state != RunState::kStopping) continue;
         any = true;
         if (now - run.last_stop < c::kStopAgainS || commands.size() >= c::kCommandsMax ||
-            machine->asking >= c::kOpenMost || !direct_room())
+            machine->open_probes >= c::kOpenMost || !can_send_direct())
           continue;
         run.last_stop = now;
         commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -1,20 +1,20 @@
-// Leadership: a key on a lease of the state service, a term that only grows, and the bound of a caretaker.
+// Leadership: a key on a lease of the state service, a term that only grows, and the bound of a degraded.
 #pragma once
 
 #include <functional>
 #include <string>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "protocol/peer_codec.hpp"
 
 namespace robinford::coordination {
 
 enum class Role : std::uint8_t {
-  kLooking,    // reads who leads
-  kFollowing,  // somebody leads; watches the key
-  kClaiming,   // takes a lease and writes the key
-  kLeading,    // holds the key, lease valid
-  kCaretaker,  // can't renew and can't know more: answers heartbeats, changes nothing
+  kDiscovering,  // reads who leads
+  kFollowing,    // somebody leads; watches the key
+  kCampaigning,  // takes a lease and writes the key
+  kLeading,      // reservations the key, lease valid
+  kDegraded,     // can't renew and can't know more: answers heartbeats, changes nothing
 };
 const char* to_text(Role role);
 
@@ -23,9 +23,9 @@
   struct Events {
     std::function<void()> elected;
     std::function<void()> lost;
-    std::function<void(bool)> caretaker;
+    std::function<void(bool)> degraded;
   };
-  Election(Core& core, Events events);
+  Election(ControllerContext& context, Events events);
 
   void tick();
   void on_status(const protocol::PeerMessage& status);  // another controller's word
@@ -54,7 +54,7 @@
   std::uint64_t records_since() const { return records_since_; }
   const std::string& leader() const { return leader_; }
   // Steady moment after which no former leader answers any heartbeat.
-  double former_leaders_silent_at() const { return std::max(former_silent_at_, all_former_silent_at_); }
+  double former_leaders_stopped_at() const { return std::max(former_stopped_at_, all_former_stopped_at_); }
 
  private:
   void become(Role role);
@@ -71,9 +71,9 @@
   void former_is_over(const char* how);
   boost::json::object term_record(std::uint64_t term, std::int64_t quiet_wall) const;
 
-  Core& core_;
+  ControllerContext& context_;
   Events events_;
-  Role role_ = Role::kLooking;
+  Role role_ = Role::kDiscovering;
   std::string leader_;
   std::uint64_t term_ = 0;          // of our own leadership, or the highest seen
   std::uint64_t mod_revision_ = 0;  // of the leader key, while leading
@@ -89,7 +89,7 @@
   std::uint64_t records_since_ = 0;
   std::uint64_t former_incarnation_ = 0;
   double former_answer_s_ = 0;
-  double former_silent_at_ = -1e9, all_former_silent_at_ = -1e9;
+  double former_stopped_at_ = -1e9, all_former_stopped_at_ = -1e9;
   std::int64_t chain_wall_ = 0;
   std::uint64_t term_mod_revision_ = 0;
 };
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -1,4 +1,4 @@
-// The fleet: what to rent, what to give back, and the cloud's own word about its machines.
+// The fleet: what to provision, what to give back, and the cloud's own word about its machines.
 #pragma once
 
 #include <functional>
@@ -7,26 +7,26 @@
 #include <tuple>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/scheduler.hpp"
 
 namespace robinford::coordination {
 
 class Fleet {
  public:
-  Fleet(Core& core, Election& election, Scheduler& scheduler);
+  Fleet(ControllerContext& context, Election& election, Scheduler& scheduler);
   void begin();
   void end();
   void tick();
 
  private:
-  using Market = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-  // Machines alike in kind and free room, there or coming: counted together, so that thousands cost no more
-  // than a few.
-  struct Virtual {
+  using CapacityPool = std::tuple<std::string, std::string, bool>;  // type, zone, spot
+  // Machines alike in kind and free resources, there or coming: counted together, so that thousands cost no
+  // more than a few.
+  struct ForecastGroup {
     std::string type, zone;
     bool spot = false;
-    Room room;
+    Resources resources;
     int count = 0;
   };
   void cloud(const std::string& method, const std::string& target, std::string body,
@@ -36,9 +36,9 @@
   void take_list(const protocol::MachineList& list);
   void publish_catalog();
   void review();
-  std::vector<Virtual> virtual_fleet();
-  void want_for_gangs(std::vector<Virtual>& fleet, std::map<Market, int>& wanted);
-  void want_for_arrays(std::map<Market, int>& wanted);
+  std::vector<ForecastGroup> forecast_fleet();
+  void demand_for_gangs(std::vector<ForecastGroup>& fleet, std::map<CapacityPool, int>& wanted);
+  void demand_for_arrays(std::map<CapacityPool, int>& wanted);
   double overpriced_cores(double price) const;
   double array_cores_needed() const;
   double array_backlog() const;
@@ -47,19 +47,20 @@
   void count_capacity();
   bool coming(const bookkeeping::Machine& machine) const;
   double price_per_core(const bookkeeping::Machine& machine) const;
-  bool market_open(const Market& market) const;
-  // The cheapest open market for tasks like this one, price for each task that fits.
-  std::optional<Market> cheapest(const protocol::JobSpec& spec, const std::map<Market, int>& wanted,
-                                 const std::string& only_zone) const;
-  void rent(const Market& market, int count);
-  void wind_down();
+  bool pool_open(const CapacityPool& pool) const;
+  // The cheapest open pool for tasks like this one, price for each task that fits.
+  std::optional<CapacityPool> cheapest(const protocol::JobSpec& spec,
+                                       const std::map<CapacityPool, int>& wanted,
+                                       const std::string& only_zone) const;
+  void provision(const CapacityPool& pool, int count);
+  void drain_surplus();
   void give_back();
   void return_machines(const std::function<bool(const bookkeeping::Machine&)>& which);
   bool empty(const bookkeeping::Machine& machine) const;
   int spare_wanted() const;
   double shortest_boot() const;
 
-  Core& core_;
+  ControllerContext& context_;
   Election& election_;
   Scheduler& scheduler_;
   bookkeeping::TokenBucket budget_;
@@ -69,18 +70,18 @@
   std::map<std::string, int> zone_machines_;  // as of the present review
   double have_ = 0;                           // cores for arrays, there or coming, as of the present review
   double gang_claim_ = 0;                     // of them, what waiting gangs will take
-  double next_tell_ = 0, next_return_ = 0, next_review_ = 0, next_catalog_ = 0, next_list_ = 0;
+  double next_log_ = 0, next_return_ = 0, next_review_ = 0, next_catalog_ = 0, next_list_ = 0;
   bool catalog_open_ = false, list_open_ = false, returning_ = false, published_ = false;
   std::uint64_t request_counter_ = 0;
-  struct Rental {
+  struct ProvisioningRequest {
     std::string request;
-    Market market;
+    CapacityPool pool;
     int count = 0;
     bool open = false;
     double next_try = 0;
   };
-  std::vector<Rental> rentals_;
-  std::map<Market, double> refused_until_;
+  std::vector<ProvisioningRequest> provisioning_requests_;
+  std::map<CapacityPool, double> refused_until_;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/gang_placement.cpp
+++ b/src/coordination/gang_placement.cpp
@@ -1,4 +1,4 @@
-// Rounds over the waiting gangs, and the holds that a gang takes in them.
+// Rounds over the waiting gangs, and the reservations that a gang takes in them.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -16,15 +16,15 @@
 using protocol::JobSpec;
 
 void Scheduler::round() {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   if (!may_place() || now - last_round_ < c::kRoundEveryS || !dirty_) return;
   last_round_ = now;
   dirty_ = false;
   claimed_.clear();
-  core_.metrics.count("rounds");
-  if (unseen_dirty_) count_unseen();
+  context_.metrics.count("rounds");
+  if (unreconciled_dirty_) count_unreconciled();
   waiting_gangs_.clear();
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     if (!job->spec.gang || job->state != JobState::kActive) continue;
     if (job->gang != GangState::kRunning) check_gang(*job);
     if (job->gang == GangState::kQueued) waiting_gangs_.push_back(job.get());
@@ -38,11 +38,12 @@
       queue.emplace_back(rank(*job, job->spec.tasks), job);
   std::vector<Offer> open;
   if (!queue.empty()) {
-    for (auto& [name, machine] : core_.machines.all())
-      if (takes_work(core_, machine) && free_room(core_, machine).cpus > 0) open.push_back({&machine, 0, 0});
+    for (auto& [name, machine] : context_.machines.all())
+      if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
+        open.push_back({&machine, 0, 0});
   }
   int searches = 0, claims = 0;
-  std::vector<const JobSpec*> failed;  // what found no room in this round
+  std::vector<const JobSpec*> failed;  // what found no free in this round
   // The teams' shares move with each placement, so the next gang is chosen afresh after each.
   while (!queue.empty()) {
     const auto best = std::min_element(queue.begin(), queue.end());
@@ -54,7 +55,7 @@
              other->tasks <= spec.tasks && other->spot == spec.spot && other->zone == spec.zone &&
              other->types == spec.types && other->one_zone == spec.one_zone && other->spread == spec.spread;
     };
-    if (!core_.quota.allows(spec, spec.tasks)) {
+    if (!context_.quota.allows(spec, spec.tasks)) {
       free_quota_for(*job);
       continue;
     }
@@ -73,7 +74,7 @@
     }
     if (now - job->known_at > c::kClaimAfterS && claims < c::kClaimsMost) {
       ++claims;
-      claim_rooms(*job);
+      claim_machines(*job);
       std::erase_if(open, [&](const Offer& offer) { return claimed_.contains(offer.machine->name); });
     }
   }
@@ -82,10 +83,11 @@
   // freed: otherwise arrays take it back task by task and the gang never gets the whole.
   gang_kept_.clear();
   std::map<std::string, double> gang_cpus;
-  for (const auto& [id, job] : core_.jobs.all())
-    if (job->spec.gang) gang_cpus[job->spec.team] += job->spec.cpus * (job->runs.size() + job->holds.size());
+  for (const auto& [id, job] : context_.jobs.all())
+    if (job->spec.gang)
+      gang_cpus[job->spec.team] += job->spec.cpus * (job->runs.size() + job->reservations.size());
   for (const Job* gang : waiting_gangs_) {
-    const auto* team = core_.settings.team(gang->spec.team);
+    const auto* team = context_.settings.team(gang->spec.team);
     double& used = gang_cpus[gang->spec.team];
     if (static_cast<int>(gang->failed_on.size()) >= c::kJobSuspectMachines || team == nullptr) continue;
     if (used + gang->spec.cpus * gang->spec.tasks > team->cpus_max) continue;
@@ -96,13 +98,13 @@
 }
 
 bool Scheduler::place_gang(Job& job, std::vector<Offer>& open) {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   std::vector<Offer> offers;
   std::uint32_t all = 0;
   for (const auto& offer : open) {
     Machine& machine = *offer.machine;
-    const Room& room = free_room(core_, machine);
-    if (!room.fits(job.spec) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot)) continue;
+    const Resources& free = free_resources(context_, machine);
+    if (!free.fits(job.spec) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot)) continue;
     if (const auto avoided = job.avoid.find(machine.name);
         avoided != job.avoid.end() && now < avoided->second)
       continue;
@@ -113,45 +115,46 @@
         std::any_of(machine.direct.begin(), machine.direct.end(),
                     [&](const auto& entry) { return entry.first.job == job.spec.id; }))
       continue;
-    const auto slots = std::min(room.tasks_of(job.spec), slots_by_count(core_, job, machine));
+    const auto slots = std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
     if (slots == 0) continue;
-    offers.push_back({&machine, slots, room.cpus, machine.images.contains(job.spec.image)});
+    offers.push_back({&machine, slots, free.cpus, machine.images.contains(job.spec.image)});
     all += slots;
   }
   if (all < job.spec.tasks) return false;
-  // Extra holds only where the team's limit and the free room allow them.
-  auto extra = static_cast<std::uint32_t>(std::floor(job.spec.tasks * core_.policy.overbook + 1e-9));
-  while (extra > 0 && !core_.quota.allows(job.spec, job.spec.tasks + extra)) --extra;
-  const auto spots = map_gang(job.spec, std::move(offers), job.spec.tasks, extra, core_.policy.concentrate);
+  // Extra reservations only where the team's limit and the free free allow them.
+  auto extra = static_cast<std::uint32_t>(std::floor(job.spec.tasks * context_.policy.overbook + 1e-9));
+  while (extra > 0 && !context_.quota.allows(job.spec, job.spec.tasks + extra)) --extra;
+  const auto spots =
+      map_gang(job.spec, std::move(offers), job.spec.tasks, extra, context_.policy.concentrate);
   if (!spots) return false;
   for (const auto& spot : *spots) {
-    Machine& machine = *core_.machines.find(spot.machine);
-    for (std::uint32_t i = 0; i < spot.tasks; ++i) add_hold(job, machine);
+    Machine& machine = *context_.machines.find(spot.machine);
+    for (std::uint32_t i = 0; i < spot.tasks; ++i) add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
-    // With long heartbeat intervals the leader asks for the heartbeat that confirms the hold.
-    if (directly() && direct_room()) ask(machine);
+    // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
+    if (directly() && can_send_direct()) probe(machine);
   }
-  std::erase_if(open, [&](const Offer& offer) { return free_room(core_, *offer.machine).cpus <= 0; });
-  JobLedger::set_gang(job, GangState::kHolding, now);
+  std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
+  JobLedger::set_gang(job, GangState::kReserving, now);
   return true;
 }
 
 // A wide gang that has waited for long keeps the machines that are free for it out of reach of the gangs
 // after it, for this round: otherwise narrow ones take each as it comes free. Arrays may use them meanwhile,
 // since they step back.
-void Scheduler::claim_rooms(const Job& job) {
+void Scheduler::claim_machines(const Job& job) {
   std::uint32_t left = job.spec.tasks;
-  for (auto& [name, machine] : core_.machines.all()) {
+  for (auto& [name, machine] : context_.machines.all()) {
     if (left == 0) return;
-    if (!takes_work(core_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot) ||
+    if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot) ||
         claimed_.contains(name))
       continue;
-    Room room = free_room(core_, machine);
+    Resources free = free_resources(context_, machine);
     for (const auto& id : machine.tasks) {
-      const Job* other = core_.jobs.find(id.job);
-      if (other != nullptr && !other->spec.gang && other->priority() < job.priority()) room.give(other->spec);
+      const Job* other = context_.jobs.find(id.job);
+      if (other != nullptr && !other->spec.gang && other->priority() < job.priority()) free.give(other->spec);
     }
-    const auto slots = std::min(left, room.tasks_of(job.spec));
+    const auto slots = std::min(left, free.tasks_of(job.spec));
     if (slots == 0) continue;
     claimed_.insert(name);
     left -= slots;
--- a/src/coordination/gang_state.cpp
+++ b/src/coordination/gang_state.cpp
@@ -1,4 +1,4 @@
-// How a gang goes from holds to running, and how it is stopped.
+// How a gang goes from reservations to running, and how it is stopped.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 }  // namespace
 
 void Scheduler::check_gang(Job& job) {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   const bool complete_set = job.runs.size() == job.spec.tasks;
   switch (job.gang) {
     case GangState::kQueued:
@@ -31,17 +31,17 @@
       else if (!blocked(job))
         stop_gang(job, false, "found incomplete by a new leader");
       return;
-    case GangState::kHolding: {
-      const auto confirmed =
-          std::count_if(job.holds.begin(), job.holds.end(), [](const auto& hold) { return hold.confirmed; });
+    case GangState::kReserving: {
+      const auto confirmed = std::count_if(job.reservations.begin(), job.reservations.end(),
+                                           [](const auto& reservation) { return reservation.confirmed; });
       if (static_cast<std::uint32_t>(confirmed) >= job.spec.tasks) return launch_gang(job);
-      const bool lapsed = std::any_of(job.holds.begin(), job.holds.end(), [&](const auto& hold) {
-        return !hold.confirmed && now > hold.lapses_at;
-      });
-      if (!lapsed) return;
+      const bool expired = std::any_of(
+          job.reservations.begin(), job.reservations.end(),
+          [&](const auto& reservation) { return !reservation.confirmed && now > reservation.expires_at; });
+      if (!expired) return;
       spdlog::info("gang {}: holds lapsed, queued again", name_of(job));
-      core_.metrics.count("holds_lapsed");
-      release_holds(job);
+      context_.metrics.count("holds_lapsed");
+      release_reservations(job);
       JobLedger::set_gang(job, GangState::kQueued, now);
       return;
     }
@@ -52,7 +52,7 @@
           });
       if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
       if (now - job.gang_since >
-          c::kReservationHeartbeats * core_.settings.heartbeat_interval_s + core_.settings.gang_wait_s)
+          c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
         stop_gang(job, false, "its tasks did not all start");
       return;
     }
@@ -60,7 +60,7 @@
       return;
     case GangState::kStopping:
       if (job.runs.empty() && !blocked(job)) {
-        core_.metrics.count("gangs_requeued");
+        context_.metrics.count("gangs_requeued");
         job.attempt = 0;
         JobLedger::set_gang(job, GangState::kQueued, now);
       }
@@ -70,16 +70,16 @@
 
 void Scheduler::launch_gang(Job& job) {
   std::vector<std::string> places;
-  for (const auto& hold : job.holds)
-    if (hold.confirmed && places.size() < job.spec.tasks) places.push_back(hold.machine);
-  release_holds(job);
+  for (const auto& reservation : job.reservations)
+    if (reservation.confirmed && places.size() < job.spec.tasks) places.push_back(reservation.machine);
+  release_reservations(job);
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-    plan(job, i, *core_.machines.find(places[i]), job.attempt);
-  JobLedger::set_gang(job, GangState::kLaunching, core_.now.steady);
+    plan(job, i, *context_.machines.find(places[i]), job.attempt);
+  JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
   if (!directly()) return;
   for (const auto& name : std::set<std::string>(places.begin(), places.end()))
-    if (direct_room()) launch_directly(*core_.machines.find(name));
+    if (can_send_direct()) launch_directly(*context_.machines.find(name));
 }
 
 void Scheduler::stop_run(Job& job, std::uint32_t index, double grace) {
@@ -97,10 +97,10 @@
 
 void Scheduler::stop_gang(Job& job, bool orderly, const char* why) {
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
-  release_holds(job);
-  JobLedger::set_gang(job, GangState::kStopping, core_.now.steady);
+  release_reservations(job);
+  JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
   const double grace =
-      orderly && job.spec.checkpoint_s > 0 ? job.spec.save_s + core_.settings.gang_peer_s : 0;
+      orderly && job.spec.checkpoint_s > 0 ? job.spec.save_s + context_.settings.gang_peer_s : 0;
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) stop_run(job, index, grace);
@@ -110,13 +110,13 @@
 void Scheduler::stop_machine_tasks(Machine& machine, const char* why) {
   const auto tasks = machine.tasks;
   for (const auto& id : tasks) {
-    Job* job = core_.jobs.find(id.job);
+    Job* job = context_.jobs.find(id.job);
     if (job == nullptr) continue;
     if (job->spec.gang) {
       if (job->gang != GangState::kStopping) stop_gang(*job, true, why);
     } else {
       stop_run(*job, id.index,
-               job->spec.checkpoint_s > 0 ? job->spec.save_s + core_.settings.gang_peer_s : 0);
+               job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
       give_back(*job, id.index);
     }
   }
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/job_lookup.cpp
@@ -24,12 +24,12 @@
   std::set<JobId> seen;
 };
 
-JobLookup::JobLookup(Core& core, std::function<void(JobId)> cancelled)
-    : core_(core), cancelled_(std::move(cancelled)) {}
+JobLookup::JobLookup(ControllerContext& context, std::function<void(JobId)> cancelled)
+    : context_(context), cancelled_(std::move(cancelled)) {}
 
 void JobLookup::own_records(JobId id, Done done) {
-  if (const auto state = core_.jobs.final_state(id)) return done({Known::What::kFinal, *state, {}});
-  core_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
+  if (const auto state = context_.jobs.final_state(id)) return done({Known::What::kFinal, *state, {}});
+  context_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
     if (live.found == StateRead::Found::kUnknown) return done({});
     if (live.found == StateRead::Found::kYes) {
       if (!JobLedger::is_cancelled(live.value)) return done({Known::What::kLive, FinalState::kDone, live});
@@ -37,7 +37,7 @@
       return done({Known::What::kFinal, FinalState::kCancelled, {}});
     }
     // A job moves from live to final and never back, so this order misses none.
-    core_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
+    context_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
       if (final.found == StateRead::Found::kUnknown) return done({});
       if (final.found == StateRead::Found::kNo) return done({Known::What::kNever, FinalState::kDone, {}});
       const auto state = JobLedger::final_from_record(final.value);
@@ -45,7 +45,7 @@
       if (*state == FinalState::kCancelled)
         cancelled_(id);
       else
-        core_.jobs.remember_final(id, *state);
+        context_.jobs.remember_final(id, *state);
       done({Known::What::kFinal, *state, {}});
     });
   });
@@ -54,7 +54,7 @@
 void JobLookup::state(JobId id, Done done) {
   own_records(id, [this, id, done = std::move(done)](const Known& known) {
     if (known.what != Known::What::kLive) return done(known);
-    const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
+    const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
     if (!job || job->state != JobState::kWaiting) return done(known);
     auto walk = std::make_shared<Walk>(Walk{id, known, done, job->spec.dependencies, {}});
     this->walk(walk);
@@ -66,7 +66,7 @@
     const JobId next = walk->open.back();
     walk->open.pop_back();
     if (!walk->seen.insert(next).second) continue;
-    if (const auto state = core_.jobs.final_state(next)) {
+    if (const auto state = context_.jobs.final_state(next)) {
       if (*state == FinalState::kDone) continue;
       cancelled_(walk->id);
       return walk->done({Known::What::kFinal, FinalState::kCancelled, {}});
@@ -79,7 +79,8 @@
         return walk->done(known);
       }
       if (known.what == Known::What::kLive) {
-        const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
+        const auto job =
+            JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
         if (!job) return walk->done({});
         if (job->state == JobState::kWaiting)
           walk->open.insert(walk->open.end(), job->spec.dependencies.begin(), job->spec.dependencies.end());
--- a/src/coordination/job_lookup.hpp
+++ b/src/coordination/job_lookup.hpp
@@ -1,9 +1,9 @@
-// What the durable records say of a job, read afresh. Any controller can ask, leader or not.
+// What the durable records say of a job, read afresh. Any controller can probe, leader or not.
 #pragma once
 
 #include <functional>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 
 namespace robinford::coordination {
 
@@ -17,7 +17,7 @@
   using Done = std::function<void(const Known&)>;
 
   // `cancelled` hears of each job that a lookup finds to be cancelled.
-  JobLookup(Core& core, std::function<void(protocol::JobId)> cancelled);
+  JobLookup(ControllerContext& context, std::function<void(protocol::JobId)> cancelled);
 
   // The job's own records.
   void own_records(protocol::JobId id, Done done);
@@ -29,7 +29,7 @@
   struct Walk;
   void walk(const std::shared_ptr<Walk>& walk);
 
-  Core& core_;
+  ControllerContext& context_;
   std::function<void(protocol::JobId)> cancelled_;
 };
 
--- a/src/coordination/job_records.cpp
+++ b/src/coordination/job_records.cpp
@@ -27,16 +27,16 @@
 
 void Scheduler::write_job(Job& job) {
   bool whole = true;
-  const auto limit = core_.settings.value_bytes() - c::kValueSlackBytes;
+  const auto limit = context_.settings.value_bytes() - c::kValueSlackBytes;
   auto record = JobLedger::record(job, limit, whole);
   job.writing = true;
-  job.last_write = core_.now.steady;
-  core_.writer.submit(
+  job.last_write = context_.now.steady;
+  context_.writer.submit(
       {WriteOp{JobLedger::live_key(job.spec.id), job.mod_revision, std::move(record)}},
       [this, id = job.spec.id, version = job.done_version, whole, generation = generation_](
           WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
-        Job* job = core_.jobs.find(id);
+        Job* job = context_.jobs.find(id);
         if (job == nullptr) return;
         job->writing = false;
         if (outcome == WriteOutcome::kDone) {
@@ -70,21 +70,21 @@
   const JobId id = job.spec.id;
   const FinalState state = job.state == JobState::kCompleting ? FinalState::kDone : FinalState::kCancelled;
   job.writing = true;
-  if (state == FinalState::kCancelled && job.cancelled_ms == 0) job.cancelled_ms = core_.now.wall_ms;
+  if (state == FinalState::kCancelled && job.cancelled_ms == 0) job.cancelled_ms = context_.now.wall_ms;
   // Of a job that is done nothing is left to run. The description of a cancelled one stays until nothing of
   // it is on any machine, so that a new leader knows what else may be out there and whose limit it counts
   // against.
   WriteOp live{JobLedger::live_key(id), job.mod_revision, std::nullopt};
   if (state == FinalState::kCancelled) {
     bool whole = true;
-    const auto limit = core_.settings.value_bytes() - c::kValueSlackBytes;
+    const auto limit = context_.settings.value_bytes() - c::kValueSlackBytes;
     live.value = JobLedger::cancelled_record(JobLedger::record(job, limit, whole), job.cancelled_ms);
   }
-  core_.writer.submit(
+  context_.writer.submit(
       {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(state)}, std::move(live)},
       [this, id, state, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
-        Job* job = core_.jobs.find(id);
+        Job* job = context_.jobs.find(id);
         if (job == nullptr) return;
         job->writing = false;
         if (outcome == WriteOutcome::kDone) {
@@ -98,14 +98,14 @@
 
 // By whatever way this controller learns of it: remembering the state alone once let the books go on with the
 // job. LastHeartbeat before its user is, so that no answer from these books is older than what the user
-// heard. A caretaker stops the tasks too: their machines go on reporting to it. While the ledger is read,
+// heard. A degraded stops the tasks too: their machines go on reporting to it. While the ledger is read,
 // loaded() does it.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
-  const bool known = core_.jobs.final_state(id).has_value();
-  core_.jobs.remember_final(id, FinalState::kCancelled);
+  const bool known = context_.jobs.final_state(id).has_value();
+  context_.jobs.remember_final(id, FinalState::kCancelled);
   if (phase_ != LeaderPhase::kNone) dependencies_.finished(id, FinalState::kCancelled);
-  if (phase_ != LeaderPhase::kGathering && phase_ != LeaderPhase::kServing) return;
-  Job* job = core_.jobs.find(id);
+  if (phase_ != LeaderPhase::kReconciling && phase_ != LeaderPhase::kServing) return;
+  Job* job = context_.jobs.find(id);
   if (job != nullptr) job_over(*job, FinalState::kCancelled);
   // For the mod_revision of its record, which is deleted in the end.
   if (!known || (job != nullptr && !job->marked)) read_job(id);
@@ -120,87 +120,88 @@
     return;
   }
   reading_.emplace(id, false);
-  core_.state.read(JobLedger::live_key(id), [this, id,
-                                             generation = generation_](const bookkeeping::StateRead& read) {
-    if (generation != generation_) return;
-    const bool again = reading_.at(id);
-    reading_.erase(id);
-    if (again) return read_job(id);
-    if (read.found == bookkeeping::StateRead::Found::kUnknown) {
-      reread_.insert(id);  // not at once: an outage may be the reason
-      return;
-    }
-    Job* job = core_.jobs.find(id);
-    if (read.found == bookkeeping::StateRead::Found::kYes) {
-      const bool cancelled = JobLedger::is_cancelled(read.value);
-      if (job != nullptr) {
-        if (read.mod_revision < job->mod_revision) return;  // answered before what we know of
-        job->mod_revision = read.mod_revision;
-        job->marked = cancelled;
-        if (cancelled) {
-          job->cancelled_on_record = true;
-          job_over(*job, FinalState::kCancelled);
-        } else if (job->over() && job->final_state == FinalState::kCancelled) {
-          // Cancelled through a dependency: only that one's record says so.
-          job->cancelled_on_record = job->state != JobState::kOver;
+  context_.state.read(
+      JobLedger::live_key(id), [this, id, generation = generation_](const bookkeeping::StateRead& read) {
+        if (generation != generation_) return;
+        const bool again = reading_.at(id);
+        reading_.erase(id);
+        if (again) return read_job(id);
+        if (read.found == bookkeeping::StateRead::Found::kUnknown) {
+          reread_.insert(id);  // not at once: an outage may be the reason
+          return;
         }
-        push_final(*job);
-        return;
-      }
-      auto fresh = JobLedger::from_record(read.value, read.mod_revision, core_.now.steady);
-      if (!fresh || (core_.jobs.final_state(id) && !fresh->over())) return;
-      auto& slot = core_.jobs.all()[id];
-      slot = std::move(fresh);
-      if (slot->state == JobState::kOver) {
-        // Withdrawn before anything of it was placed.
-        core_.jobs.remember_final(id, slot->final_state);
-        return;
-      }
-      job_added(*slot);
-      return;
-    }
-    if (job == nullptr) return;
-    core_.state.read(JobLedger::final_key(id), [this, id, generation](const bookkeeping::StateRead& final) {
-      if (generation != generation_) return;
-      Job* job = core_.jobs.find(id);
-      if (job == nullptr) return;
-      if (final.found != bookkeeping::StateRead::Found::kYes) {
-        reread_.insert(id);
-        return;
-      }
-      if (const auto state = JobLedger::final_from_record(final.value)) {
-        job->cancelled_on_record = true;
-        job_over(*job, *state);
-      }
-    });
-  });
+        Job* job = context_.jobs.find(id);
+        if (read.found == bookkeeping::StateRead::Found::kYes) {
+          const bool cancelled = JobLedger::is_cancelled(read.value);
+          if (job != nullptr) {
+            if (read.mod_revision < job->mod_revision) return;  // answered before what we know of
+            job->mod_revision = read.mod_revision;
+            job->marked = cancelled;
+            if (cancelled) {
+              job->cancelled_on_record = true;
+              job_over(*job, FinalState::kCancelled);
+            } else if (job->over() && job->final_state == FinalState::kCancelled) {
+              // Cancelled through a dependency: only that one's record says so.
+              job->cancelled_on_record = job->state != JobState::kOver;
+            }
+            push_final(*job);
+            return;
+          }
+          auto fresh = JobLedger::from_record(read.value, read.mod_revision, context_.now.steady);
+          if (!fresh || (context_.jobs.final_state(id) && !fresh->over())) return;
+          auto& slot = context_.jobs.all()[id];
+          slot = std::move(fresh);
+          if (slot->state == JobState::kOver) {
+            // Withdrawn before anything of it was placed.
+            context_.jobs.remember_final(id, slot->final_state);
+            return;
+          }
+          job_added(*slot);
+          return;
+        }
+        if (job == nullptr) return;
+        context_.state.read(JobLedger::final_key(id),
+                            [this, id, generation](const bookkeeping::StateRead& final) {
+                              if (generation != generation_) return;
+                              Job* job = context_.jobs.find(id);
+                              if (job == nullptr) return;
+                              if (final.found != bookkeeping::StateRead::Found::kYes) {
+                                reread_.insert(id);
+                                return;
+                              }
+                              if (const auto state = JobLedger::final_from_record(final.value)) {
+                                job->cancelled_on_record = true;
+                                job_over(*job, *state);
+                              }
+                            });
+      });
 }
 
 void Scheduler::job_over(Job& job, FinalState state) {
   if (job.state == JobState::kOver) return;
   JobLedger::set_state(job, JobState::kOver);
   job.final_state = state;
-  core_.jobs.remember_final(job.spec.id, state);
-  core_.metrics.count(state == FinalState::kDone ? "jobs_done" : "jobs_withdrawn");
+  context_.jobs.remember_final(job.spec.id, state);
+  context_.metrics.count(state == FinalState::kDone ? "jobs_done" : "jobs_withdrawn");
   if (spdlog::should_log(spdlog::level::debug))
     spdlog::debug(
         "job {} ({}, {}) {} {:.1f} s after its submission, first task ran after {:.1f} s; {} tasks of {} "
         "cpus, estimate {:.0f} s, "
         "ran {:.0f} s on average, {:.0f} s left",
         name_of(job), job.spec.job_class, job.spec.team, bookkeeping::to_text(state),
-        (core_.now.wall_ms - job.submitted_ms) / 1000.0,
+        (context_.now.wall_ms - job.submitted_ms) / 1000.0,
         job.first_start > 0 ? job.first_start - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
         job.spec.estimate_s, job.ran_count > 0 ? job.ran_sum / job.ran_count : 0.0, time_left(job));
   queues_dirty_ = true;
-  if (core_.job_over) core_.job_over(job.spec.id, state);
+  if (context_.job_over) context_.job_over(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
-  release_holds(job);
+  release_reservations(job);
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) {
     if (const auto& run = job.runs.at(index);
         state == FinalState::kCancelled && run.state != RunState::kPlanned)
-      if (Machine* machine = core_.machines.find(run.machine)) expect_cancelled_work_gone(*machine, job);
+      if (Machine* machine = context_.machines.find(run.machine)) expect_cancelled_work_gone(*machine, job);
     stop_run(job, index, 0);
   }
   send_stops();
@@ -218,10 +219,10 @@
 void Scheduler::dependencies_done(Job& job) {
   JobLedger::set_state(job, JobState::kActive);
   job.spec.dependencies.clear();
-  job.ready_ms = core_.now.wall_ms;
+  job.ready_ms = context_.now.wall_ms;
   job.ready_on_record = false;
-  job.known_at = core_.now.steady;
-  core_.metrics.count("jobs_released");
+  job.known_at = context_.now.steady;
+  context_.metrics.count("jobs_released");
   dirty_ = queues_dirty_ = true;
   if (phase_ != LeaderPhase::kLoading) arrived(job);
 }
@@ -237,12 +238,12 @@
 void Scheduler::write_derived_cancellation(Job& job) {
   const JobId id = job.spec.id;
   job.writing = true;
-  core_.writer.submit(
+  context_.writer.submit(
       {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
        WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}},
       [this, id, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation != generation_) return;
-        Job* job = core_.jobs.find(id);
+        Job* job = context_.jobs.find(id);
         if (job == nullptr) return;
         job->writing = false;
         if (outcome == WriteOutcome::kDone)
@@ -257,32 +258,32 @@
 void Scheduler::write_progress(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
-  if (job.durable_version < job.done_version && core_.now.steady - job.last_write > c::kLedgerEveryS &&
-      core_.writer.waiting() < c::kQuietWriter)
+  if (job.durable_version < job.done_version && context_.now.steady - job.last_write > c::kLedgerEveryS &&
+      context_.writer.waiting() < c::kQuietWriter)
     write_job(job);
 }
 
-// Whether a machine shows tasks of the job, or may still hold some.
+// Whether a machine shows tasks of the job, or may still reservation some.
 bool Scheduler::has_remaining_tasks(JobId id) {
   const bool strayed =
-      std::any_of(stray_machines_.begin(), stray_machines_.end(), [&](const std::string& name) {
-        const Machine* machine = core_.machines.find(name);
+      std::any_of(unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
+        const Machine* machine = context_.machines.find(name);
         return machine != nullptr &&
-               std::any_of(machine->strays.begin(), machine->strays.end(),
-                           [&](const TaskStatus& stray) { return stray.task.job == id; });
+               std::any_of(machine->unknown_tasks.begin(), machine->unknown_tasks.end(),
+                           [&](const TaskStatus& unknown_task) { return unknown_task.task.job == id; });
       });
   return strayed || std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
-           const Machine* machine = core_.machines.find(name);
+           const Machine* machine = context_.machines.find(name);
            return machine != nullptr && machine->overdue.contains(id);
          });
 }
 
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
-// what is cancelled stays for a next leader while a machine may still hold it.
+// what is cancelled stays for a next leader while a machine may still reservation it.
 void Scheduler::sweep_jobs() {
   for (const auto id : std::exchange(reread_, {})) read_job(id);
   std::vector<JobId> gone;
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     push_final(*job);
     write_progress(*job);
     if (job->state != JobState::kOver || job->writing) continue;
@@ -290,19 +291,19 @@
       write_derived_cancellation(*job);
       continue;
     }
-    if (job->runs.empty() && job->holds.empty() && !blocked(*job) && !has_remaining_tasks(id))
+    if (job->runs.empty() && job->reservations.empty() && !blocked(*job) && !has_remaining_tasks(id))
       gone.push_back(id);
   }
   if (gone.empty()) return;
   std::erase_if(waiting_gangs_, [](const Job* job) { return job->over(); });
   sort_queues();
   for (const auto id : gone) {
-    Job& job = *core_.jobs.find(id);
+    Job& job = *context_.jobs.find(id);
     if (job.marked)
-      core_.writer.submit(
+      context_.writer.submit(
           {WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}}, [](auto, auto) {},
           WriteClass::kTidy);
-    core_.jobs.erase(id);
+    context_.jobs.erase(id);
   }
 }
 
--- a/src/coordination/job_requests.cpp
+++ b/src/coordination/job_requests.cpp
@@ -25,9 +25,9 @@
 }
 }  // namespace
 
-JobRequests::JobRequests(Core& core, Election& election, Scheduler& scheduler, const PeerVersions& versions,
-                         JobChanged job_changed)
-    : core_(core),
+JobRequests::JobRequests(ControllerContext& context, Election& election, Scheduler& scheduler,
+                         const PeerVersions& versions, JobChanged job_changed)
+    : context_(context),
       election_(election),
       scheduler_(scheduler),
       versions_(versions),
@@ -62,7 +62,7 @@
                                const Reply& reply) {
   switch (known.what) {
     case JobLookup::Known::What::kLive: {
-      const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, core_.now.steady);
+      const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
       if (!job) return reply(busy("the record can't be read"));
       return reply({200, 0, protocol::job_poll_json(id, n::kStateQueued, job->done_count, 0), std::nullopt});
     }
@@ -82,8 +82,8 @@
   if (!parsed.id) return reply(refuse(400, parsed.error));
   const JobId id = *parsed.id;
   // A known job is answered before its description is judged again.
-  if (const auto state = core_.jobs.final_state(id)) return reply(final_answer(id, *state));
-  if (leading() && core_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
+  if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
+  if (leading() && context_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
   const auto judged = [this, id, reply](int status, const std::string& reason) {
     if (status == 503) return reply(busy(reason.c_str()));
     lookup_.state(id, [this, id, reply, status, reason](const JobLookup::Known& known) {
@@ -123,7 +123,7 @@
       add_dependency(open->verdict, id, known);
       if (--open->left == 0) done(open->verdict);
     };
-    const Job* job = leading() ? core_.jobs.find(id) : nullptr;
+    const Job* job = leading() ? context_.jobs.find(id) : nullptr;
     if (job != nullptr && !job->over())
       take({JobLookup::Known::What::kLive, FinalState::kDone, {}});
     else
@@ -153,44 +153,45 @@
 
 // A job that needs a cancelled one is accepted, and cancelled with it.
 void JobRequests::admit_cancelled(JobId id, const Reply& reply) {
-  core_.writer.submit({WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
-                       WriteOp{JobLedger::live_key(id), 0, std::nullopt, true}},
-                      [this, id, reply](WriteOutcome outcome, std::uint64_t) {
-                        if (outcome == WriteOutcome::kDone) {
-                          scheduler_.on_cancelled_elsewhere(id);
-                          core_.metrics.count("jobs_accepted");
-                          auto answer = final_answer(id, FinalState::kCancelled);
-                          answer.status = 201;
-                          return reply(answer);
-                        }
-                        if (outcome != WriteOutcome::kConflict) return reply(busy("not written"));
-                        lookup_.state(id, [this, id, reply](const JobLookup::Known& known) {
-                          answer_known(id, known, busy("try again"), reply);
-                        });
-                      });
+  context_.writer.submit(
+      {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
+       WriteOp{JobLedger::live_key(id), 0, std::nullopt, true}},
+      [this, id, reply](WriteOutcome outcome, std::uint64_t) {
+        if (outcome == WriteOutcome::kDone) {
+          scheduler_.on_cancelled_elsewhere(id);
+          context_.metrics.count("jobs_accepted");
+          auto answer = final_answer(id, FinalState::kCancelled);
+          answer.status = 201;
+          return reply(answer);
+        }
+        if (outcome != WriteOutcome::kConflict) return reply(busy("not written"));
+        lookup_.state(id, [this, id, reply](const JobLookup::Known& known) {
+          answer_known(id, known, busy("try again"), reply);
+        });
+      });
 }
 
 // Status 0: acceptable. Only what can never run is refused for good.
 void JobRequests::validate(const JobSpec& spec, const std::function<void(int, std::string)>& done) {
   const auto judge = [this, spec, done] {
-    const auto* team = core_.settings.team(spec.team);
+    const auto* team = context_.settings.team(spec.team);
     if (team == nullptr) return done(422, "unknown team");
     const double tasks = spec.gang ? spec.tasks : 1;
     if (spec.cpus * tasks > team->cpus_max || spec.gpus * tasks > team->gpus_max)
       return done(422, "needs more than the limit of its team");
-    for (const auto& [name, type] : core_.types) {
-      if (!Room{type.cpus, type.gpus, type.memory_gb}.fits(spec)) continue;
+    for (const auto& [name, type] : context_.types) {
+      if (!Resources{type.cpus, type.gpus, type.memory_gb}.fits(spec)) continue;
       for (const auto& zone : type.zones)
         if (kind_allowed(spec, name, zone, false)) return done(0, "");
     }
     done(422, "a task fits no allowed machine type");
   };
-  if (!core_.types.empty()) return judge();
-  core_.state.read("cat", [this, judge, done](const StateRead& read) {
+  if (!context_.types.empty()) return judge();
+  context_.state.read("cat", [this, judge, done](const StateRead& read) {
     if (read.found == StateRead::Found::kYes)
       if (const auto types = protocol::parse_catalog(boost::json::serialize(read.value)))
-        for (const auto& type : *types) core_.types[type.name] = type;
-    if (core_.types.empty()) return done(503, "the machine types are not known yet");
+        for (const auto& type : *types) context_.types[type.name] = type;
+    if (context_.types.empty()) return done(503, "the machine types are not known yet");
     judge();
   });
 }
@@ -200,12 +201,12 @@
   Job draft;
   draft.spec = spec;
   draft.done.resize(spec.tasks);
-  draft.submitted_ms = core_.now.wall_ms;
+  draft.submitted_ms = context_.now.wall_ms;
   if (!spec.dependencies.empty()) draft.state = JobState::kWaiting;
   bool whole = true;
   auto record = JobLedger::record(draft, c::kBodyMax, whole);
   // What the state service would never take must not be tried again and again.
-  if (boost::json::serialize(record).size() + c::kValueSlackBytes > core_.settings.value_bytes())
+  if (boost::json::serialize(record).size() + c::kValueSlackBytes > context_.settings.value_bytes())
     return reply(refuse(422, "its description is larger than a record may be"));
   auto& waiting = admitting_[id];
   waiting.push_back(std::move(reply));
@@ -214,11 +215,11 @@
                            WriteOp{JobLedger::final_key(id), 0, std::nullopt, true}};
   // A leader that did not write this itself learns of it by the notice.
   const bool from_memory = leading();
-  if (!from_memory) ops.push_back(ChangeLog::entry(id, core_.incarnation, ++log_entries_, false));
+  if (!from_memory) ops.push_back(ChangeLog::entry(id, context_.incarnation, ++log_entries_, false));
   const auto submitted = draft.submitted_ms;
   const std::uint64_t term = election_.term();
-  core_.writer.submit(std::move(ops), [this, id, spec, submitted, from_memory, term](
-                                          WriteOutcome outcome, std::uint64_t mod_revision) {
+  context_.writer.submit(std::move(ops), [this, id, spec, submitted, from_memory, term](
+                                             WriteOutcome outcome, std::uint64_t mod_revision) {
     const auto found = admitting_.find(id);
     if (found == admitting_.end()) return;
     const auto replies = std::move(found->second);
@@ -229,14 +230,14 @@
     if (outcome == WriteOutcome::kDone) {
       if (from_memory && leading() && election_.term() == term) {
         // The answer may come after that to a cancellation which went another way.
-        if (core_.jobs.find(id) == nullptr && !core_.jobs.final_state(id)) {
-          Job& job = core_.jobs.add(spec, mod_revision, submitted, core_.now.steady);
+        if (context_.jobs.find(id) == nullptr && !context_.jobs.final_state(id)) {
+          Job& job = context_.jobs.add(spec, mod_revision, submitted, context_.now.steady);
           scheduler_.job_added(job);
         }
       } else {
         job_changed_(id);
       }
-      core_.metrics.count("jobs_accepted");
+      context_.metrics.count("jobs_accepted");
       return all({201, 0, protocol::job_state_json(id, n::kStateQueued), std::nullopt});
     }
     if (outcome == WriteOutcome::kConflict) {
@@ -252,8 +253,8 @@
 // ---------------------------------------------------------------- polls
 
 void JobRequests::poll(JobId id, Reply reply) {
-  if (const auto state = core_.jobs.final_state(id)) return reply(final_answer(id, *state));
-  if (leading() && core_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
+  if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
+  if (leading() && context_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
   answer_from_records(id, std::move(reply));
 }
 
@@ -262,7 +263,7 @@
 // questions that wait share. One read of the record for each question exhausted the state service's limit as
 // soon as one controller was away.
 void JobRequests::answer_live(JobId id, Reply reply) {
-  if (core_.cancellations.current(core_.now.steady)) return answer_from_memory(id, reply);
+  if (context_.cancellations.current(context_.now.steady)) return answer_from_memory(id, reply);
   scheduler_.change_log().after_fresh_read([this, id, reply = std::move(reply)](bool read) {
     if (!read || !leading()) return reply(busy("the state service does not answer"));
     answer_from_memory(id, reply);
@@ -270,8 +271,8 @@
 }
 
 void JobRequests::answer_from_memory(JobId id, const Reply& reply) {
-  if (const auto state = core_.jobs.final_state(id)) return reply(final_answer(id, *state));
-  const Job* job = core_.jobs.find(id);
+  if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
+  const Job* job = context_.jobs.find(id);
   const bool waits = job != nullptr && job->state == JobState::kWaiting;
   if (job != nullptr && (!waits || scheduler_.dependencies_settled())) return reply(state_answer(200, *job));
   answer_from_records(id, reply);
@@ -282,7 +283,7 @@
     // Its record, read since the question came, says that it is not cancelled; the leader knows more of its
     // tasks.
     if (known.what == JobLookup::Known::What::kLive && leading())
-      if (const Job* job = core_.jobs.find(id)) return reply(state_answer(200, *job));
+      if (const Job* job = context_.jobs.find(id)) return reply(state_answer(200, *job));
     answer_known(id, known, refuse(404, "no such job"), reply);
   });
 }
@@ -290,9 +291,9 @@
 // ---------------------------------------------------------------- cancellations
 
 void JobRequests::abort(JobId id, Reply reply) {
-  if (const auto state = core_.jobs.final_state(id)) return reply(final_answer(id, *state));
+  if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
   if (leading()) {
-    if (Job* job = core_.jobs.find(id)) {
+    if (Job* job = context_.jobs.find(id)) {
       // Registered first: with a final state on its way the answer is whichever becomes durable.
       aborting_[id].push_back(std::move(reply));
       scheduler_.cancel(*job);
@@ -322,11 +323,11 @@
   lookup_.state(id, [this, id, tries, reply](const JobLookup::Known& known) {
     if (known.what != JobLookup::Known::What::kLive)
       return answer_known(id, known, refuse(404, "no such job"), reply);
-    core_.writer.submit(
+    context_.writer.submit(
         {WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
          WriteOp{JobLedger::live_key(id), known.live.mod_revision,
-                 JobLedger::cancelled_record(known.live.value.get_object(), core_.now.wall_ms)},
-         ChangeLog::entry(id, core_.incarnation, ++log_entries_, true)},
+                 JobLedger::cancelled_record(known.live.value.get_object(), context_.now.wall_ms)},
+         ChangeLog::entry(id, context_.incarnation, ++log_entries_, true)},
         [this, id, tries, reply](WriteOutcome outcome, std::uint64_t) {
           if (outcome == WriteOutcome::kDone) {
             scheduler_.on_cancelled_elsewhere(id);
--- a/src/coordination/job_requests.hpp
+++ b/src/coordination/job_requests.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/peer_versions.hpp"
 #include "coordination/scheduler.hpp"
 
@@ -24,8 +24,8 @@
  public:
   using Reply = std::function<void(UserAnswer)>;
   using JobChanged = std::function<void(protocol::JobId)>;
-  JobRequests(Core& core, Election& election, Scheduler& scheduler, const PeerVersions& versions,
-              JobChanged job_changed);
+  JobRequests(ControllerContext& context, Election& election, Scheduler& scheduler,
+              const PeerVersions& versions, JobChanged job_changed);
 
   void submit(const std::string& body, Reply reply);
   void poll(protocol::JobId id, Reply reply);
@@ -59,7 +59,7 @@
   UserAnswer state_answer(int status, const bookkeeping::Job& job) const;
   UserAnswer final_answer(protocol::JobId id, bookkeeping::FinalState state) const;
 
-  Core& core_;
+  ControllerContext& context_;
   Election& election_;
   Scheduler& scheduler_;
   const PeerVersions& versions_;
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -13,7 +13,7 @@
   Metrics();
   void count(const char* name, std::uint64_t by = 1) { counters_[name] += by; }
   void gauge(const char* name, double value) { gauges_[name] = value; }
-  enum class Spread { kGangWait, kArrayWait, kRound, kTakeover, kHeartbeatAnswer, kGrantWait };
+  enum class Spread { kGangWait, kArrayWait, kRound, kFailover, kHeartbeatAnswer, kGrantWait };
   void record(Spread spread, double seconds);
   std::string page() const;
 
--- a/src/coordination/peer_messages.cpp
+++ b/src/coordination/peer_messages.cpp
@@ -15,7 +15,7 @@
   const auto found = peers_.find(message.member);
   if (found == peers_.end()) return false;
   PeerView& peer = found->second;
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   switch (message.kind) {
     case PeerKind::kStatus: {
       // A late status of an earlier process must not undo what its successor said.
@@ -28,9 +28,9 @@
       peer.ready = message.ready;
       peer.state_ok = message.state_ok;
       peer.last_contact = now;
-      versions_.heard(message.member, message.incarnation);
+      versions_.observe(message.member, message.incarnation);
       election_.on_status(message);
-      core_.cancellations.take_status(message, core_.incarnation);
+      context_.cancellations.take_status(message, context_.incarnation);
       unpark();
       break;
     }
@@ -86,7 +86,7 @@
         const auto& heartbeat = waiting->second.heartbeat;
         if (message.status != 200)
           last_heartbeats_.erase(heartbeat.machine);
-        else if (last_heartbeats_.size() < core_.per_machine(c::kLastHeartbeatsPerMb) ||
+        else if (last_heartbeats_.size() < context_.per_machine(c::kLastHeartbeatsPerMb) ||
                  last_heartbeats_.contains(heartbeat.machine))
           last_heartbeats_[heartbeat.machine] = {message.member, message.term, heartbeat.agent_epoch,
                                                  heartbeat.seq, protocol::heartbeat_state(heartbeat)};
@@ -114,7 +114,7 @@
             const auto job =
                 protocol::parse_job_id(std::string_view(id->get_string().data(), id->get_string().size()));
             if (job && state->get_string() == n::kStateDone)
-              core_.jobs.remember_final(*job, bookkeeping::FinalState::kDone);
+              context_.jobs.remember_final(*job, bookkeeping::FinalState::kDone);
             if (job && state->get_string() == n::kStateCancelled) {
               scheduler_.on_cancelled_elsewhere(*job);
               announce_cancellation(*job);  // the leader may announce, and here it does
@@ -130,14 +130,14 @@
       break;
     case PeerKind::kCancellationsAnnounced:
       for (const auto job : message.jobs) scheduler_.on_cancelled_elsewhere(job);
-      core_.cancellations.take_announced(message);
+      context_.cancellations.take_announced(message);
       break;
     case PeerKind::kQuota:
       return quota_leases_.take(message.member, message.incarnation, message.body);
-    case PeerKind::kAsk:
-      put_question(message);
+    case PeerKind::kProbe:
+      carry_out_probe(message);
       break;
-    case PeerKind::kAsked:
+    case PeerKind::kProbeResult:
       if (delegated_.erase(message.request) > 0)
         scheduler_.direct_answer(message.request, static_cast<int>(message.status),
                                  message.status != 0 ? &message.heartbeat : nullptr);
@@ -148,53 +148,54 @@
 
 // Direct calls cost a connection each, so the other controllers make them in turn; alone, the leader does.
 void Controller::direct(const DirectCall& call) {
-  PeerMessage ask;
-  ask.kind = PeerKind::kAsk;
-  ask.request = call.id;
-  ask.target = call.addr;
-  ask.base_seq = call.agent_epoch;
-  ask.commands = call.commands;
-  ask.term = election_.term();
+  PeerMessage probe;
+  probe.kind = PeerKind::kProbe;
+  probe.request = call.id;
+  probe.target = call.addr;
+  probe.base_seq = call.agent_epoch;
+  probe.commands = call.commands;
+  probe.term = election_.term();
   std::vector<const std::string*> fresh;
   for (const auto& [member, peer] : peers_)
-    if (peer.up && !peer.leading && core_.now.steady - peer.last_contact < c::kPeerFreshS)
+    if (peer.up && !peer.leading && context_.now.steady - peer.last_contact < c::kPeerFreshS)
       fresh.push_back(&member);
   if (!fresh.empty()) {
-    delegated_[call.id] = core_.now.steady + c::kDelegateS;
-    return send(*fresh[next_peer_++ % fresh.size()], std::move(ask));
+    delegated_[call.id] = context_.now.steady + c::kDelegateS;
+    return send(*fresh[next_peer_++ % fresh.size()], std::move(probe));
   }
-  put_question(ask);
+  carry_out_probe(probe);
 }
 
 // The question is our own, or another controller's, which then gets the answer.
-void Controller::put_question(const PeerMessage& ask) {
-  const auto finish = [this, member = ask.member, id = ask.request](int status,
-                                                                    const protocol::Heartbeat* heartbeat) {
+void Controller::carry_out_probe(const PeerMessage& probe) {
+  const auto finish = [this, member = probe.member, id = probe.request](
+                          int status, const protocol::Heartbeat* heartbeat) {
     if (member.empty()) return scheduler_.direct_answer(id, status, heartbeat);
     PeerMessage message;
-    message.kind = PeerKind::kAsked;
+    message.kind = PeerKind::kProbeResult;
     message.request = id;
     message.status = heartbeat != nullptr ? static_cast<std::uint64_t>(status) : 0;
     if (heartbeat != nullptr) message.heartbeat = *heartbeat;
     send(member, std::move(message));
   };
-  if (!ask.member.empty() &&
-      questions_ >= static_cast<std::size_t>(core_.settings.max_connections / c::kDirectSocketPart))
+  if (!probe.member.empty() &&
+      peer_probes_ >= static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart))
     return finish(0, nullptr);
-  ++questions_;
-  core_.calls.send({0, protocol::Service::kWorker, ask.target, "POST", n::kPathCommands,
-                    protocol::commands_json(ask.term, ask.commands, ask.base_seq), c::kDirectTimeoutS, false},
-                   [this, finish](const protocol::CallResult& result) {
-                     --questions_;
-                     if (result.status != 200 && result.status != 409) return finish(0, nullptr);
-                     const auto heartbeat = protocol::parse_heartbeat(result.body);
-                     finish(result.status, heartbeat ? &*heartbeat : nullptr);
-                   });
+  ++peer_probes_;
+  context_.calls.send(
+      {0, protocol::Service::kWorker, probe.target, "POST", n::kPathCommands,
+       protocol::commands_json(probe.term, probe.commands, probe.base_seq), c::kDirectTimeoutS, false},
+      [this, finish](const protocol::CallResult& result) {
+        --peer_probes_;
+        if (result.status != 200 && result.status != 409) return finish(0, nullptr);
+        const auto heartbeat = protocol::parse_heartbeat(result.body);
+        finish(result.status, heartbeat ? &*heartbeat : nullptr);
+      });
 }
 
 void Controller::send(const std::string& member, PeerMessage message) {
-  message.member = core_.settings.member;
-  message.incarnation = core_.incarnation;
+  message.member = context_.settings.member;
+  message.incarnation = context_.incarnation;
   message.term = election_.term();
   auto& batch = batches_[member];
   protocol::put_message(batch, message);
@@ -205,20 +206,20 @@
 void Controller::flush(const std::string& member) {
   auto& batch = batches_[member];
   if (batch.empty()) return;
-  core_.out.sends.push_back({member, std::exchange(batch, {})});
+  context_.out.sends.push_back({member, std::exchange(batch, {})});
 }
 
 void Controller::broadcast() {
-  next_status_broadcast_ = core_.now.steady + c::kStatusIntervalS;
+  next_status_broadcast_ = context_.now.steady + c::kStatusIntervalS;
   for (const auto& [member, peer] : peers_) {
     if (!peer.up) continue;
     PeerMessage message;
     message.kind = PeerKind::kStatus;
-    message.leading = election_.role() == Role::kLeading || election_.role() == Role::kCaretaker;
+    message.leading = election_.role() == Role::kLeading || election_.role() == Role::kDegraded;
     message.ready = scheduler_.knows_all_jobs();
-    message.state_ok = core_.state.reachable(core_.now.steady);
-    if (auto announced = core_.cancellations.unacknowledged(member)) send(member, std::move(*announced));
-    core_.cancellations.sign(member, core_.now.steady, message);
+    message.state_ok = context_.state.reachable(context_.now.steady);
+    if (auto announced = context_.cancellations.unacknowledged(member)) send(member, std::move(*announced));
+    context_.cancellations.sign(member, context_.now.steady, message);
     send(member, std::move(message));
   }
 }
--- a/src/coordination/peer_versions.cpp
+++ b/src/coordination/peer_versions.cpp
@@ -22,28 +22,28 @@
 
 }  // namespace
 
-PeerVersions::PeerVersions(Core& core) : core_(core) {
-  for (const auto& peer : core_.settings.peers) members_[peer.member];
+PeerVersions::PeerVersions(ControllerContext& context) : context_(context) {
+  for (const auto& peer : context_.settings.peers) members_[peer.member];
   complete_ = members_.empty();
 }
 
 void PeerVersions::tick() {
-  if (busy_ || core_.now.steady < next_look_) return;
+  if (busy_ || context_.now.steady < next_look_) return;
   if (registered_ && complete_ && all_present_known()) return;
-  next_look_ = core_.now.steady + c::kVersionsEveryS;
+  next_look_ = context_.now.steady + c::kVersionsEveryS;
   if (!registered_) return register_self();
   read_registry();
 }
 
-void PeerVersions::heard(const std::string& member, std::uint64_t incarnation) {
+void PeerVersions::observe(const std::string& member, std::uint64_t incarnation) {
   const auto found = members_.find(member);
   if (found == members_.end() || found->second.present == incarnation) return;
   found->second.present = incarnation;
-  next_look_ = std::min(next_look_, core_.now.steady);
+  next_look_ = std::min(next_look_, context_.now.steady);
 }
 
 bool PeerVersions::understands_dependencies(const std::string& member) const {
-  if (member == core_.settings.member) return true;
+  if (member == context_.settings.member) return true;
   const auto found = members_.find(member);
   return found != members_.end() && found->second.registered != 0 &&
          found->second.present == found->second.registered;
@@ -62,28 +62,28 @@
 
 void PeerVersions::register_self() {
   busy_ = true;
-  const std::string key = kPrefix + core_.settings.member;
-  core_.state.read(key, [this, key](const StateRead& read) {
+  const std::string key = kPrefix + context_.settings.member;
+  context_.state.read(key, [this, key](const StateRead& read) {
     if (read.found == StateRead::Found::kUnknown) {
       busy_ = false;
       return;
     }
     json::object record;
     record[kLevel] = c::kFeatureLevel;
-    record[kIncarnation] = core_.incarnation;
+    record[kIncarnation] = context_.incarnation;
     if (offers_quota_leases_) record[kQuotaLeases] = true;
-    core_.writer.submit({{key, read.mod_revision, std::move(record)}},
-                        [this](WriteOutcome outcome, std::uint64_t) {
-                          busy_ = false;
-                          registered_ = outcome == WriteOutcome::kDone;
-                          next_look_ = core_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
-                        });
+    context_.writer.submit({{key, read.mod_revision, std::move(record)}},
+                           [this](WriteOutcome outcome, std::uint64_t) {
+                             busy_ = false;
+                             registered_ = outcome == WriteOutcome::kDone;
+                             next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
+                           });
   });
 }
 
 void PeerVersions::read_registry() {
   busy_ = true;
-  core_.state.list(kPrefix, "", [this](const std::optional<StatePage>& page) {
+  context_.state.list(kPrefix, "", [this](const std::optional<StatePage>& page) {
     busy_ = false;
     if (!page) return;
     for (const auto& item : page->items) take(item.key.substr(std::string(kPrefix).size()), item.value);
--- a/src/coordination/peer_versions.hpp
+++ b/src/coordination/peer_versions.hpp
@@ -7,17 +7,17 @@
 #include <map>
 #include <string>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 
 namespace robinford::coordination {
 
 class PeerVersions {
  public:
-  explicit PeerVersions(Core& core);
+  explicit PeerVersions(ControllerContext& context);
 
   void tick();
   // The process that the member's last status came from.
-  void heard(const std::string& member, std::uint64_t incarnation);
+  void observe(const std::string& member, std::uint64_t incarnation);
   // The member's present process is known to understand dependencies.
   bool understands_dependencies(const std::string& member) const;
   // The member's present process hands out quota leases when it leads.
@@ -30,7 +30,7 @@
  private:
   struct Member {
     std::uint64_t registered = 0;  // incarnation of the process that registered last
-    std::uint64_t present = 0;     // incarnation heard last; 0: none yet
+    std::uint64_t present = 0;     // incarnation observe last; 0: none yet
     bool quota_leases = false;     // of the registered process
   };
   void register_self();
@@ -38,7 +38,7 @@
   void take(const std::string& member, const boost::json::value& record);
   bool all_present_known() const;
 
-  Core& core_;
+  ControllerContext& context_;
   std::map<std::string, Member> members_;  // all others that the settings name
   bool offers_quota_leases_ = false;
   bool registered_ = false, busy_ = false, complete_ = false;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -12,31 +12,31 @@
 using bookkeeping::MachineState;
 using protocol::JobSpec;
 
-const Room& free_room(Core& core, Machine& machine) {
-  if (!machine.room_known) {
-    machine.room = count_room(core, machine);
-    machine.room_known = true;
+const Resources& free_resources(ControllerContext& context, Machine& machine) {
+  if (!machine.free_resources_known) {
+    machine.free_resources = count_free_resources(context, machine);
+    machine.free_resources_known = true;
   }
-  return machine.room;
+  return machine.free_resources;
 }
 
-Room count_room(Core& core, const Machine& machine) {
-  Room room{machine.cpus, machine.gpus, machine.memory_gb};
+Resources count_free_resources(ControllerContext& context, const Machine& machine) {
+  Resources resources{machine.cpus, machine.gpus, machine.memory_gb};
   for (const auto& task : machine.tasks)
-    if (const Job* job = core.jobs.find(task.job)) room.take(job->spec);
-  for (const auto id : machine.holds) {
-    const Job* job = core.jobs.find(id);
+    if (const Job* job = context.jobs.find(task.job)) resources.take(job->spec);
+  for (const auto id : machine.reservations) {
+    const Job* job = context.jobs.find(id);
     if (job == nullptr) continue;
-    for (const auto& hold : job->holds)
-      if (hold.machine == machine.name) room.take(job->spec);
+    for (const auto& reservation : job->reservations)
+      if (reservation.machine == machine.name) resources.take(job->spec);
   }
-  for (const auto& stray : machine.strays) {
-    if (const Job* job = core.jobs.find(stray.task.job))
-      room.take(job->spec);
+  for (const auto& unknown_task : machine.unknown_tasks) {
+    if (const Job* job = context.jobs.find(unknown_task.task.job))
+      resources.take(job->spec);
     else
       return {};  // its size is unknown until it is gone
   }
-  return room;
+  return resources;
 }
 
 bool kind_allowed(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
@@ -45,28 +45,29 @@
   return !spec.types || std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
 }
 
-bool takes_work(const Core& core, const Machine& machine) {
-  const double fresh = core.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
-  return machine.state == MachineState::kUp && !machine.set_aside && !machine.interruption_at &&
-         core.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
+bool takes_work(const ControllerContext& context, const Machine& machine) {
+  const double fresh = context.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  return machine.state == MachineState::kUp && !machine.cordoned && !machine.interruption_at &&
+         context.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
 }
 
-ZoneCount zones_of(Core& core, const Job& job, const std::set<std::string>& stray_machines) {
+ZoneCount zones_of(ControllerContext& context, const Job& job,
+                   const std::set<std::string>& unknown_task_machines) {
   ZoneCount result;
   const auto add = [&](const std::string& name) {
-    const auto* machine = core.machines.find(name);
+    const auto* machine = context.machines.find(name);
     if (machine != nullptr)
       ++result.tasks[machine->zone];
     else
       ++result.unknown;
   };
   for (const auto& [index, run] : job.runs) add(run.machine);
-  for (const auto& hold : job.holds) add(hold.machine);
-  for (const auto& name : stray_machines) {
-    const auto* machine = core.machines.find(name);
+  for (const auto& reservation : job.reservations) add(reservation.machine);
+  for (const auto& name : unknown_task_machines) {
+    const auto* machine = context.machines.find(name);
     if (machine == nullptr) continue;
-    for (const auto& stray : machine->strays)
-      if (stray.task.job == job.spec.id) ++result.tasks[machine->zone];
+    for (const auto& unknown_task : machine->unknown_tasks)
+      if (unknown_task.task.job == job.spec.id) ++result.tasks[machine->zone];
   }
   return result;
 }
@@ -85,33 +86,33 @@
   return true;
 }
 
-std::uint32_t slots_by_count(Core& core, const Job& job, const Machine& machine) {
-  std::set<protocol::JobId> present(machine.holds);
+std::uint32_t slots_by_count(ControllerContext& context, const Job& job, const Machine& machine) {
+  std::set<protocol::JobId> present(machine.reservations);
   std::uint32_t here = 0;
   for (const auto& task : machine.tasks) {
     present.insert(task.job);
     if (task.job == job.spec.id) ++here;
   }
-  for (const auto& hold : job.holds)
-    if (hold.machine == machine.name) ++here;
+  for (const auto& reservation : job.reservations)
+    if (reservation.machine == machine.name) ++here;
   if (!present.contains(job.spec.id) &&
-      present.size() >= static_cast<std::size_t>(core.policy.jobs_per_machine))
+      present.size() >= static_cast<std::size_t>(context.policy.jobs_per_machine))
     return 0;
-  const auto most = static_cast<std::uint32_t>(core.policy.tasks_per_job);
+  const auto most = static_cast<std::uint32_t>(context.policy.tasks_per_job);
   return here >= most ? 0 : most - here;
 }
 
-std::optional<std::vector<Spot>> map_gang(const JobSpec& spec, std::vector<Offer> offers,
-                                          std::uint32_t needed, std::uint32_t extra, bool concentrate) {
+std::optional<std::vector<Assignment>> map_gang(const JobSpec& spec, std::vector<Offer> offers,
+                                                std::uint32_t needed, std::uint32_t extra, bool concentrate) {
   std::erase_if(offers, [](const Offer& offer) { return offer.slots == 0; });
-  std::map<std::string, double> zone_room;
+  std::map<std::string, double> zone_free_cpus;
   std::map<std::string, std::uint32_t> zone_slots;
   for (const auto& offer : offers) {
-    zone_room[offer.machine->zone] += offer.free_cpus;
+    zone_free_cpus[offer.machine->zone] += offer.free_cpus;
     zone_slots[offer.machine->zone] += offer.slots;
   }
   std::sort(offers.begin(), offers.end(), [&](const Offer& a, const Offer& b) {
-    const double ra = zone_room[a.machine->zone], rb = zone_room[b.machine->zone];
+    const double ra = zone_free_cpus[a.machine->zone], rb = zone_free_cpus[b.machine->zone];
     if (ra != rb) return ra > rb;
     if (a.machine->zone != b.machine->zone) return a.machine->zone < b.machine->zone;
     if (a.free_cpus != b.free_cpus) return a.free_cpus > b.free_cpus;
@@ -138,12 +139,13 @@
     bool any = false;
     for (std::size_t i = 0; i < offers.size() && placed < needed + extra; ++i) {
       auto& zone = in_zone[offers[i].machine->zone];
-      const std::uint32_t room = std::min({offers[i].slots - taken[i], zone_cap - std::min(zone, zone_cap),
-                                           needed + extra - placed, per_machine});
-      taken[i] += room;
-      zone += room;
-      placed += room;
-      any = any || room > 0;
+      const std::uint32_t resources =
+          std::min({offers[i].slots - taken[i], zone_cap - std::min(zone, zone_cap), needed + extra - placed,
+                    per_machine});
+      taken[i] += resources;
+      zone += resources;
+      placed += resources;
+      any = any || resources > 0;
     }
     return any;
   };
@@ -153,7 +155,7 @@
     while (pass(1)) {
     }
   if (placed < needed) return std::nullopt;
-  std::vector<Spot> result;
+  std::vector<Assignment> result;
   for (std::size_t i = 0; i < offers.size(); ++i)
     if (taken[i] > 0) result.push_back({offers[i].machine->name, taken[i]});
   return result;
--- a/src/coordination/placement.hpp
+++ b/src/coordination/placement.hpp
@@ -7,37 +7,39 @@
 #include <string>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 
 namespace robinford::coordination {
 
-using bookkeeping::Room;
+using bookkeeping::Resources;
 
-// Capacity less every run, hold and stray on the machine: kept on the machine, counted anew when one of them
-// changed.
-const Room& free_room(Core& core, bookkeeping::Machine& machine);
-Room count_room(Core& core, const bookkeeping::Machine& machine);
+// Capacity less every run, reservation and unknown_task on the machine: kept on the machine, counted anew
+// when one of them changed.
+const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
+Resources count_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
 // Type, zone and kind, as the job's owner allows.
 bool kind_allowed(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
 // Up, heard of lately, not set aside, not about to be taken.
-bool takes_work(const Core& core, const bookkeeping::Machine& machine);
+bool takes_work(const ControllerContext& context, const bookkeeping::Machine& machine);
 
-// The job's tasks by zone, old attempts and holds included; tasks whose place is unknown count for every
-// zone.
+// The job's tasks by zone, old attempts and reservations included; tasks whose place is unknown count for
+// every zone.
 struct ZoneCount {
   std::map<std::string, std::uint32_t> tasks;
   std::uint32_t unknown = 0;
 };
-ZoneCount zones_of(Core& core, const bookkeeping::Job& job, const std::set<std::string>& stray_machines);
+ZoneCount zones_of(ControllerContext& context, const bookkeeping::Job& job,
+                   const std::set<std::string>& unknown_task_machines);
 // Whether one more task in the zone keeps the job's zone rules; `tasks` is updated by the caller.
 bool zone_allowed(const protocol::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
 // J and P: how many more tasks of the job the machine may take by count.
-std::uint32_t slots_by_count(Core& core, const bookkeeping::Job& job, const bookkeeping::Machine& machine);
+std::uint32_t slots_by_count(ControllerContext& context, const bookkeeping::Job& job,
+                             const bookkeeping::Machine& machine);
 
-struct Spot {
+struct Assignment {
   std::string machine;
   std::uint32_t tasks = 0;
 };
@@ -49,7 +51,7 @@
 };
 // Places for `needed` tasks and up to `extra` more; nothing when they don't all fit. Zones, then machines,
 // most free room first; a one-zone gang stays in one zone.
-std::optional<std::vector<Spot>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
-                                          std::uint32_t needed, std::uint32_t extra, bool concentrate);
+std::optional<std::vector<Assignment>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
+                                                std::uint32_t needed, std::uint32_t extra, bool concentrate);
 
 }  // namespace robinford::coordination
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -22,11 +22,11 @@
 // The limit of a gang's team is used up: its own arrays of lower priority step back, fewest lost seconds
 // first.
 void Scheduler::free_quota_for(Job& job) {
-  const double now = core_.now.steady;
-  const auto* team = core_.settings.team(job.spec.team);
+  const double now = context_.now.steady;
+  const auto* team = context_.settings.team(job.spec.team);
   if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt) return;
   job.next_preempt = now + c::kPreemptEveryS;
-  const auto used = core_.quota.usage(job.spec.team);
+  const auto used = context_.quota.usage(job.spec.team);
   double excess = used.cpus + job.spec.cpus * job.spec.tasks - team->cpus_max;
   struct Victim {
     Job* job;
@@ -34,7 +34,7 @@
     double lost;
   };
   std::vector<Victim> victims;
-  for (auto& [id, other] : core_.jobs.all()) {
+  for (auto& [id, other] : context_.jobs.all()) {
     if (other->spec.gang || other->spec.team != job.spec.team || other->priority() >= job.priority())
       continue;
     for (const auto& [index, run] : other->runs) {
@@ -59,19 +59,19 @@
     stop_run(*victim.job, victim.index, 0);
     give_back(*victim.job, victim.index);
     ++stopped;
-    core_.metrics.count("preempted");
+    context_.metrics.count("preempted");
   }
   if (stopped > 0)
     spdlog::info("gang {}: {} tasks of its own team stopped for the team's limit", name_of(job), stopped);
   send_stops();
 }
 
-// Room for a gang is made from work of lower priority, fewest lost seconds first.
+// Resources for a gang is made from work of lower priority, fewest lost seconds first.
 void Scheduler::preempt_for(Job& job) {
-  const double now = core_.now.steady;
-  for (const auto& [name, machine] : core_.machines.all())
+  const double now = context_.now.steady;
+  for (const auto& [name, machine] : context_.machines.all())
     if (machine.reserved_by == job.spec.id && now < machine.reserved_until)
-      return;  // room is being made already
+      return;  // free is being made already
   struct Victim {
     TaskId task;
     double lost;
@@ -83,20 +83,20 @@
   };
   std::vector<Option> options;
   std::uint32_t free_slots = 0;
-  for (auto& [name, machine] : core_.machines.all()) {
-    if (!takes_work(core_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot))
+  for (auto& [name, machine] : context_.machines.all()) {
+    if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot))
       continue;
     if (const auto avoided = job.avoid.find(name); avoided != job.avoid.end() && now < avoided->second)
       continue;
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_.contains(name)) continue;
-    Room room = free_room(core_, machine);
-    if (room.fits(job.spec)) {
-      free_slots += std::min(room.tasks_of(job.spec), slots_by_count(core_, job, machine));
+    Resources free = free_resources(context_, machine);
+    if (free.fits(job.spec)) {
+      free_slots += std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
       continue;
     }
     std::vector<Victim> all;
     for (const auto& id : machine.tasks) {
-      Job* other = core_.jobs.find(id.job);
+      Job* other = context_.jobs.find(id.job);
       if (other == nullptr || other->spec.gang || other->priority() >= job.priority()) continue;
       const auto& run = other->runs.at(id.index);
       const double ran = run.running_since > 0 ? now - run.running_since : 0;
@@ -105,12 +105,12 @@
     std::sort(all.begin(), all.end(), [](const Victim& a, const Victim& b) { return a.lost < b.lost; });
     Option option{&machine, {}, 0};
     for (const auto& victim : all) {
-      if (room.fits(job.spec)) break;
-      room.give(core_.jobs.find(victim.task.job)->spec);
+      if (free.fits(job.spec)) break;
+      free.give(context_.jobs.find(victim.task.job)->spec);
       option.victims.push_back(victim);
       option.lost += victim.lost;
     }
-    if (room.fits(job.spec)) options.push_back(std::move(option));
+    if (free.fits(job.spec)) options.push_back(std::move(option));
   }
   if (free_slots >= job.spec.tasks) return;  // count is not what keeps it waiting (zones, say)
   const std::size_t needed = job.spec.tasks - free_slots;
@@ -121,12 +121,12 @@
   for (std::size_t i = 0; i < needed; ++i) {
     options[i].machine->reserved_by = job.spec.id;
     options[i].machine->reserved_until =
-        now + std::max(c::kReserveS, 3 * core_.settings.heartbeat_interval_s);
+        now + std::max(c::kReserveS, 3 * context_.settings.heartbeat_interval_s);
     for (const auto& victim : options[i].victims) {
-      Job* other = core_.jobs.find(victim.task.job);
+      Job* other = context_.jobs.find(victim.task.job);
       stop_run(*other, victim.task.index, 0);
       give_back(*other, victim.task.index);
-      core_.metrics.count("preempted");
+      context_.metrics.count("preempted");
     }
     spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
                  options[i].victims.size(), options[i].machine->name, options[i].lost);
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/queue_order.cpp
@@ -14,16 +14,16 @@
 using bookkeeping::JobState;
 
 Scheduler::Rank Scheduler::rank(const Job& job, std::uint32_t tasks) const {
-  Rank rank{!core_.quota.within_guarantee(job.spec, tasks),
+  Rank rank{!context_.quota.within_guarantee(job.spec, tasks),
             -static_cast<int>(job.priority()),
             job.tier,
-            core_.quota.share_used(job.spec.team, core_.share_of(job.spec.team)),
+            context_.quota.share_used(job.spec.team, context_.share_of(job.spec.team)),
             time_left(job),
             job.submitted_ms,
             job.spec.id};
   // Work that has waited for long comes before the turn of the shares, oldest first: none starves, the
   // largest least.
-  if (job.spec.gang ? core_.now.steady - job.known_at > c::kClaimAfterS : waited_too_long(job)) {
+  if (job.spec.gang ? context_.now.steady - job.known_at > c::kClaimAfterS : waited_too_long(job)) {
     rank.tier = -1;
     rank.share = rank.due = 0;
   }
@@ -32,15 +32,15 @@
 
 // An array of which nothing has run for long: it has to begin.
 bool Scheduler::waited_too_long(const Job& job) const {
-  return !job.spec.gang && job.first_start == 0 && core_.now.steady - job.known_at > c::kArrayLongestWaitS;
+  return !job.spec.gang && job.first_start == 0 && context_.now.steady - job.known_at > c::kArrayLongestWaitS;
 }
 
 double Scheduler::time_left(const Job& job) const {
-  const auto wall_ms = static_cast<double>(core_.now.wall_ms);
+  const auto wall_ms = static_cast<double>(context_.now.wall_ms);
   const double inherited = (job.inherited_due_ms - wall_ms) / 1000;
   if (job.spec.deadline_s) return std::min(inherited, (job.due_ms() - wall_ms) / 1000);
   const double age = std::max(0.0, (wall_ms - static_cast<double>(job.eligible_ms())) / 1000);
-  for (const auto& objective : core_.settings.objectives)
+  for (const auto& objective : context_.settings.objectives)
     if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
       return std::min(inherited, objective.within_s - age);
   return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kUnknownRunS - age);
@@ -49,17 +49,17 @@
 // From the moment when it is ready: the image has to be fetched first.
 double Scheduler::expected_duration(const Job& job) const {
   double slowest = std::numeric_limits<double>::infinity();
-  for (const auto& [name, type] : core_.types)
+  for (const auto& [name, type] : context_.types)
     if (type.fetch_gb_per_s > 0) slowest = std::min(slowest, type.fetch_gb_per_s);
   const double fetch = std::isfinite(slowest) ? job.spec.image_gb / slowest : 0;
-  return run_times_.expected(job) + fetch + 2 * core_.settings.heartbeat_interval_s;
+  return run_times_.expected(job) + fetch + 2 * context_.settings.heartbeat_interval_s;
 }
 
 // Not all can be in time when a team asks for more than its limit. Going through its arrays by due time,
 // whenever one would be late the largest so far steps back: so the fewest jobs are late. Those that stepped
 // back are sorted the same way once more, against one and a half times the time they had.
 void Scheduler::sort_tiers() {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   if (now < next_tiers_) return;
   next_tiers_ = now + c::kTiersEveryS;
   dependencies_.inherit([this](const Job& job) { return expected_duration(job); });
@@ -68,27 +68,28 @@
     double left, late_left, work;
   };
   std::map<std::string, std::vector<Entry>> teams;
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     if (job->spec.gang || job->state != JobState::kActive) continue;
     const double left = time_left(*job);
-    const double age = std::max(0.0, (core_.now.wall_ms - job->submitted_ms) / 1000.0);
+    const double age = std::max(0.0, (context_.now.wall_ms - job->submitted_ms) / 1000.0);
     teams[job->spec.team].push_back({job.get(), left, left + (left + age) * 0.5,
                                      job->remaining() * job->spec.cpus * run_times_.expected(*job)});
   }
   // The pace that a team can hope for: its limit less its gangs, and its part of the room there is.
-  double supply = survey_.supply, asked = 0;
+  double supply = survey_.supply, demanded = 0;
   std::map<std::string, double> pace, gangs;
-  for (const auto& [id, job] : core_.jobs.all())
-    if (job->spec.gang) gangs[job->spec.team] += job->spec.cpus * (job->runs.size() + job->holds.size());
+  for (const auto& [id, job] : context_.jobs.all())
+    if (job->spec.gang)
+      gangs[job->spec.team] += job->spec.cpus * (job->runs.size() + job->reservations.size());
   for (const auto& [name, cpus] : gangs) supply -= cpus;
   for (const auto& [name, waiting] : teams) {
-    const auto* team = core_.settings.team(name);
+    const auto* team = context_.settings.team(name);
     if (team == nullptr) continue;
     double cores = 0;
     for (const auto& entry : waiting) cores += entry.job->remaining() * entry.job->spec.cpus;
-    asked += pace[name] = std::min(cores, std::max(1.0, team->cpus_max - gangs[name]));
+    demanded += pace[name] = std::min(cores, std::max(1.0, team->cpus_max - gangs[name]));
   }
-  const double part = c::kPaceShare * (asked > 0 ? std::clamp(supply / asked, 0.05, 1.0) : 1.0);
+  const double part = c::kPaceShare * (demanded > 0 ? std::clamp(supply / demanded, 0.05, 1.0) : 1.0);
   for (auto& [name, waiting] : teams) {
     const double rate = pace[name] * part;
     if (rate <= 0) continue;
@@ -121,11 +122,11 @@
 
 // Arrays with tasks to place, each team's in its own order.
 void Scheduler::sort_queues() {
-  next_queues_ = core_.now.steady + c::kQueuesEveryS;
+  next_queues_ = context_.now.steady + c::kQueuesEveryS;
   queues_dirty_ = false;
   queues_.clear();
   std::map<const Job*, Rank> ranks;
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     job->queued = false;
     if (job->spec.gang || job->state != JobState::kActive || job->unplaced() == 0) continue;
     job->queued = true;
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -12,32 +12,32 @@
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
 
-QuotaLeases::QuotaLeases(Core& core, Election& election, const PeerVersions& versions,
+QuotaLeases::QuotaLeases(ControllerContext& context, Election& election, const PeerVersions& versions,
                          const quota::LeaseOptions& options, Send send)
-    : core_(core),
+    : context_(context),
       election_(election),
       versions_(versions),
       options_(options),
       send_(std::move(send)),
-      lessee_(options, core.incarnation),
-      lessor_(core.settings, options, ledgers(core)) {
-  if (options_.enabled) core_.quota.set_guard(&lessor_);
+      lessee_(options, context.incarnation),
+      lessor_(context.settings, options, ledgers(context)) {
+  if (options_.enabled) context_.quota.set_guard(&lessor_);
 }
 
-quota::Lessor::Ledgers QuotaLeases::ledgers(Core& core) {
-  const auto job = [&core](protocol::JobId id) {
+quota::Lessor::Ledgers QuotaLeases::ledgers(ControllerContext& context) {
+  const auto job = [&context](protocol::JobId id) {
     quota::JobView view;
-    if (const auto* known = core.jobs.find(id)) {
+    if (const auto* known = context.jobs.find(id)) {
       view.state = known->over() ? quota::JobView::State::kOver : quota::JobView::State::kLive;
       view.remaining = known->remaining();
-      view.placed = static_cast<std::uint32_t>(known->runs.size() + known->holds.size());
-    } else if (core.jobs.final_state(id)) {
+      view.placed = static_cast<std::uint32_t>(known->runs.size() + known->reservations.size());
+    } else if (context.jobs.final_state(id)) {
       view.state = quota::JobView::State::kOver;
     }
     return view;
   };
-  const auto used = [&core](const std::string& team) {
-    const auto usage = core.quota.usage(team);
+  const auto used = [&context](const std::string& team) {
+    const auto usage = context.quota.usage(team);
     return quota::Amount{std::llround(usage.cpus * c::kThousandths),
                          std::llround(usage.gpus * c::kThousandths)};
   };
@@ -49,8 +49,8 @@
 void QuotaLeases::elected() {
   if (!options_.enabled) return;
   ++generation_;
-  lessee_.reset(core_.now.steady);
-  lessor_.begin(election_.term(), core_.now.steady);
+  lessee_.reset(context_.now.steady);
+  lessor_.begin(election_.term(), context_.now.steady);
 }
 
 void QuotaLeases::lost() {
@@ -61,7 +61,7 @@
 
 void QuotaLeases::tick(const std::string& leader) {
   if (!options_.enabled) return;
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   lessee_.tick(now);
   if (now >= next_renewal_) renew(leader);
   if (!election_.valid()) return;
@@ -74,23 +74,23 @@
 // ---------------------------------------------------------------- lessee
 
 bool QuotaLeases::lessor_understands(const std::string& leader) const {
-  return !leader.empty() && leader != core_.settings.member && versions_.serves_quota_leases(leader);
+  return !leader.empty() && leader != context_.settings.member && versions_.serves_quota_leases(leader);
 }
 
 void QuotaLeases::renew(const std::string& leader) {
   if (!lessor_understands(leader)) return;
-  next_renewal_ = core_.now.steady + std::min(c::kLeaseRenewS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
-  send_(leader, quota::encode(lessee_.renewal(core_.now.steady)));
+  next_renewal_ = context_.now.steady + std::min(c::kLeaseRenewS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
+  send_(leader, quota::encode(lessee_.renewal(context_.now.steady)));
 }
 
 void QuotaLeases::grant_submission(const std::string& leader, const std::string& body) {
   if (!options_.enabled || !lessor_understands(leader)) return;
   const auto parsed = protocol::parse_job(body);
   if (!parsed.spec) return;
-  const auto* team = core_.settings.team(parsed.spec->team);
+  const auto* team = context_.settings.team(parsed.spec->team);
   if (team == nullptr || team->cpus_max >= c::kAmountMax) return;
-  if (!lessee_.grant(*parsed.spec, core_.now.steady)) return;
-  core_.metrics.record(Metrics::Spread::kGrantWait, 0);
+  if (!lessee_.grant(*parsed.spec, context_.now.steady)) return;
+  context_.metrics.record(Metrics::Spread::kGrantWait, 0);
   while (const auto message = lessee_.new_grants()) send_(leader, quota::encode(*message));
 }
 
@@ -110,7 +110,7 @@
   }
   // A leader that stood still and is none any more must not renew anything.
   if (!election_.valid()) return true;
-  if (const auto reply = lessor_.take(member, incarnation, *message, core_.now.steady))
+  if (const auto reply = lessor_.take(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
   return true;
 }
@@ -122,7 +122,7 @@
     return false;
   }
   if (election_.role() == Role::kLeading) return true;
-  if (lessee_.take(*message, core_.now.steady)) renew(member);
+  if (lessee_.take(*message, context_.now.steady)) renew(member);
   return true;
 }
 
@@ -140,27 +140,27 @@
 }
 
 void QuotaLeases::load_page(const std::string& after) {
-  core_.state.list(quota::kLeaseRecordPrefix, after,
-                   [this, generation = generation_](const std::optional<StatePage>& page) {
-                     if (generation != generation_) return;
-                     if (!page) {
-                       next_load_ = core_.now.steady + c::kLeaseLoadRetryS;
-                       return lessor_.loading_failed();
-                     }
-                     for (const auto& item : page->items)
-                       loading_.push_back({item.key, item.mod_revision, item.value});
-                     if (page->more && !page->items.empty()) return load_page(page->items.back().key);
-                     lessor_.loaded(std::exchange(loading_, {}), core_.now.steady);
-                   });
+  context_.state.list(quota::kLeaseRecordPrefix, after,
+                      [this, generation = generation_](const std::optional<StatePage>& page) {
+                        if (generation != generation_) return;
+                        if (!page) {
+                          next_load_ = context_.now.steady + c::kLeaseLoadRetryS;
+                          return lessor_.loading_failed();
+                        }
+                        for (const auto& item : page->items)
+                          loading_.push_back({item.key, item.mod_revision, item.value});
+                        if (page->more && !page->items.empty()) return load_page(page->items.back().key);
+                        lessor_.loaded(std::exchange(loading_, {}), context_.now.steady);
+                      });
 }
 
 void QuotaLeases::carry_out_writes() {
-  for (auto& due : lessor_.take_writes(core_.now.steady)) write(std::move(due));
+  for (auto& due : lessor_.take_writes(context_.now.steady)) write(std::move(due));
 }
 
 void QuotaLeases::write(quota::LeaseWrite due) {
   const std::string key = due.key;
-  core_.writer.submit(
+  context_.writer.submit(
       {WriteOp{key, due.expect, std::move(due.value)}},
       [this, key, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
@@ -176,12 +176,12 @@
 
 void QuotaLeases::set_gauges() {
   if (!options_.enabled) return;
-  auto& metrics = core_.metrics;
+  auto& metrics = context_.metrics;
   const auto cpus = [](const quota::Amount& amount) {
     return static_cast<double>(amount.cpus) / c::kThousandths;
   };
   const auto& mine = lessee_.counters();
-  metrics.gauge("quota_lease_valid", lessee_.valid(core_.now.steady) ? 1 : 0);
+  metrics.gauge("quota_lease_valid", lessee_.valid(context_.now.steady) ? 1 : 0);
   metrics.gauge("quota_lease_held_cpus", cpus(lessee_.held()));
   metrics.gauge("quota_lease_promised_cpus", cpus(lessee_.promised()));
   metrics.gauge("quota_lease_jobs_granted", static_cast<double>(mine.granted));
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/election.hpp"
 #include "coordination/peer_versions.hpp"
 #include "quota/lessee.hpp"
@@ -19,7 +19,7 @@
  public:
   // Carries the body of a frame to another controller.
   using Send = std::function<void(const std::string& member, std::string body)>;
-  QuotaLeases(Core& core, Election& election, const PeerVersions& versions,
+  QuotaLeases(ControllerContext& context, Election& election, const PeerVersions& versions,
               const quota::LeaseOptions& options, Send send);
 
   void elected();
@@ -39,7 +39,7 @@
   std::string audit() const;
 
  private:
-  static quota::Lessor::Ledgers ledgers(Core& core);
+  static quota::Lessor::Ledgers ledgers(ControllerContext& context);
   bool lessor_understands(const std::string& leader) const;
   void renew(const std::string& leader);
   void load();
@@ -50,7 +50,7 @@
   bool take_lessee(const std::string& member, std::uint64_t incarnation, const std::string& body);
   bool take_lessor(const std::string& member, const std::string& body);
 
-  Core& core_;
+  ControllerContext& context_;
   Election& election_;
   const PeerVersions& versions_;
   const quota::LeaseOptions options_;
--- a/src/coordination/reports.cpp
+++ b/src/coordination/reports.cpp
@@ -47,33 +47,33 @@
 void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
   if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
-    if (early_.size() >= core_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
+    if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
     early_.emplace_back(key, heartbeat);
     return;
   }
-  Machine* machine = core_.machines.find(heartbeat.machine);
+  Machine* machine = context_.machines.find(heartbeat.machine);
   if (machine == nullptr) {
-    machine = &core_.machines.add(heartbeat.machine, core_.now.steady);
-    machine->rented_at = core_.now.steady;
+    machine = &context_.machines.add(heartbeat.machine, context_.now.steady);
+    machine->provisioned_at = context_.now.steady;
     spdlog::info("machine {} reports, unexpected", heartbeat.machine);
   }
   if (machine->state == MachineState::kGone) return actions_.answer(key, 503, {});
   if (machine->unanswered_since_ms || machine->unanswered_on_record) {
     // Its lease is not renewed before its record allows it. It heartbeats again about a second later.
-    core_.machines.clear_unanswered(*machine);
+    context_.machines.clear_unanswered(*machine);
     return actions_.answer(key, 503, {});
   }
   if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
                             !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
     // A late copy: it renews nothing. Or the machine was born again, which only a question can announce.
-    doubt(*machine);
+    probe_if_suspect(*machine);
     return actions_.answer(key, 503, {});
   }
   if (heartbeat.fencing_token < election_.term()) {
     // It may be a copy from long ago, and an earlier leader's launch may still be on its way: it proves
     // nothing. Our fencing_token in the answer ends both, and its next heartbeat shows it.
     first_contact(*machine, heartbeat);
-    machine->last_answer = core_.now.steady;
+    machine->last_answer = context_.now.steady;
     return actions_.answer(key, 200, {});
   }
   apply_heartbeat(*machine, heartbeat, false);
@@ -84,22 +84,22 @@
                                     std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq) {
   Machine* machine = phase_ == LeaderPhase::kLoading || fencing_token != election_.term()
                          ? nullptr
-                         : core_.machines.find(name);
+                         : context_.machines.find(name);
   if (machine == nullptr || !machine->saw_term || machine->agent_epoch != agent_epoch ||
       machine->seq != base_seq || seq <= base_seq || machine->state == MachineState::kGone ||
       machine->unanswered_since_ms || machine->unanswered_on_record || !machine->clears.empty() ||
-      !machine->strays.empty())
+      !machine->unknown_tasks.empty())
     return false;
   // A launch that was in flight is settled by a heartbeat that does not show it, so those are looked at in
   // full.
   for (const auto& id : machine->tasks)
-    if (const Job* job = core_.jobs.find(id.job);
+    if (const Job* job = context_.jobs.find(id.job);
         job == nullptr || job->runs.at(id.index).state == RunState::kLaunched)
       return false;
   if (!entitled(key, fencing_token)) return true;
   machine->seq = seq;
-  heard(*machine, agent_epoch, seq);
-  confirm_holds(*machine);
+  record_contact(*machine, agent_epoch, seq);
+  confirm_reservations(*machine);
   serve_machine(key, *machine);
   return true;
 }
@@ -107,69 +107,71 @@
 // The machine's own heartbeat may carry work in its answer.
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
-    // The heartbeat that confirms the last hold of a gang carries the launch in its own answer.
-    const auto holders = machine.holds;
-    for (const auto id : holders)
-      if (Job* job = core_.jobs.find(id); job != nullptr && job->state == JobState::kActive) check_gang(*job);
+    // The heartbeat that confirms the last reservation of a gang carries the launch in its own answer.
+    const auto reserving_jobs = machine.reservations;
+    for (const auto id : reserving_jobs)
+      if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
+        check_gang(*job);
     fill(machine);
   }
   answer_heartbeat(machine, key);
 }
 
 void Scheduler::answer_heartbeat(Machine& machine, std::uint64_t key) {
-  machine.last_answer = core_.now.steady;
-  core_.metrics.count("reports");
+  machine.last_answer = context_.now.steady;
+  context_.metrics.count("reports");
   actions_.answer(key, 200, commands_for(machine));
 }
 
 void Scheduler::first_contact(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
   machine.agent_epoch_guess = std::max(machine.agent_epoch_guess, heartbeat.agent_epoch);
-  if (!machine.unseen && (machine.type != heartbeat.type || machine.zone != heartbeat.zone)) {
+  if (!machine.unreconciled && (machine.type != heartbeat.type || machine.zone != heartbeat.zone)) {
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
     know_type(machine);
   }
-  if (machine.recorded_addr != machine.addr) core_.machines.touch(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
   // It was answered with our fencing_token again and again and still does not show it: our answers don't
   // reach it.
-  if (++machine.unproven >= c::kUnprovenMost) doubt(machine);
+  if (++machine.unproven_answers >= c::kUnprovenMost) probe_if_suspect(machine);
 }
 
 // Liveness: only a newer word of the machine counts.
-void Scheduler::heard(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
-  const double now = core_.now.steady;
+void Scheduler::record_contact(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
+  const double now = context_.now.steady;
   if (!machine.saw_term || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
   machine.agent_epoch = agent_epoch;
   machine.seq = seq;
   machine.saw_term = true;
-  machine.unproven = 0;
-  core_.machines.clear_unanswered(machine);
-  clear_unseen(machine);
+  machine.unproven_answers = 0;
+  context_.machines.clear_unanswered(machine);
+  mark_reconciled(machine);
   machine.last_heartbeat = now;
   if (!machine.sent_heartbeat) {
     machine.sent_heartbeat = true;
     machine.up_at = now;
     machine.idle_since = now;
-    if (machine.rented_at > 0 && machine.known_at - machine.rented_at < 1)
-      core_.boots.record(machine.type, now - machine.rented_at);
-    if (machine.rented_at > 0)
-      spdlog::info("machine {} up {:.1f} s after its rental", machine.name, now - machine.rented_at);
+    if (machine.provisioned_at > 0 && machine.known_at - machine.provisioned_at < 1)
+      context_.boots.record(machine.type, now - machine.provisioned_at);
+    if (machine.provisioned_at > 0)
+      spdlog::info("machine {} up {:.1f} s after its rental", machine.name, now - machine.provisioned_at);
   }
-  if (machine.state == MachineState::kBooting || machine.state == MachineState::kSilent)
+  if (machine.state == MachineState::kBooting || machine.state == MachineState::kUnresponsive)
     MachineLedger::set_state(machine, MachineState::kUp);
-  if (!machine.tasks.empty() || !machine.holds.empty()) machine.idle_since = now;
+  if (!machine.tasks.empty() || !machine.reservations.empty()) machine.idle_since = now;
   dirty_ = true;
 }
 
-// The heartbeat is the evidence that holds wait for: the room is still free.
-void Scheduler::confirm_holds(Machine& machine) {
-  for (const auto id : machine.holds) {
-    Job* job = core_.jobs.find(id);
+// The heartbeat is the evidence that reservations wait for: the has_space is still free.
+void Scheduler::confirm_reservations(Machine& machine) {
+  for (const auto id : machine.reservations) {
+    Job* job = context_.jobs.find(id);
     if (job == nullptr) continue;
-    for (auto& hold : job->holds)
-      if (hold.machine == machine.name && hold.made_at < core_.now.steady) hold.confirmed = true;
+    for (auto& reservation : job->reservations)
+      if (reservation.machine == machine.name && reservation.made_at < context_.now.steady)
+        reservation.confirmed = true;
   }
 }
 
@@ -193,12 +195,12 @@
   if (agent_restarted) on_agent_restart(machine);
   take_machine_facts(machine, heartbeat);
   const auto shown = tasks_shown(heartbeat);
-  set_strays(machine, {});
+  set_unknown_tasks(machine, {});
   machine.clears.clear();
   std::set<TaskId> settled;
   const std::set<TaskId> known = machine.tasks;
   for (const auto& id : known) {
-    Job* job = core_.jobs.find(id.job);
+    Job* job = context_.jobs.find(id.job);
     if (job == nullptr) continue;
     const auto found = job->runs.find(id.index);
     if (found == job->runs.end()) continue;
@@ -213,14 +215,14 @@
     // The second entry of a task that stands twice.
     if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
   }
-  confirm_holds(machine);
+  confirm_reservations(machine);
   check_cancelled_work_gone(machine);
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
   // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
-  if (core_.now.steady - machine.last_answer < core_.settings.lease_s * 0.5)
-    unheard(machine, c::kUnheardMost);
+  if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
+    note_undelivered(machine, c::kUndeliveredMost);
   // Commands for the old agent_epoch are refused from now on.
   machine.direct.clear();
 }
@@ -230,17 +232,17 @@
   machine.addr = heartbeat.addr;
   if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
       machine.cpus <= 0) {
-    clear_unseen(machine);
+    mark_reconciled(machine);
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
     know_type(machine);
   }
-  if (machine.recorded_addr != machine.addr) core_.machines.touch(machine);
-  heard(machine, heartbeat.agent_epoch, heartbeat.seq);
+  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
+  record_contact(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
-                                ? std::optional(core_.now.steady + *heartbeat.interruption_notice_s)
+                                ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
                                 : std::nullopt;
   if (machine.interruption_at && !had_interruption_notice)
     spdlog::info("machine {} will be taken in {:.0f} s", machine.name, *heartbeat.interruption_notice_s);
@@ -263,8 +265,8 @@
                                                            std::tie(run.launch_agent_epoch, run.launch_seq);
   if (!settled) return;
   if (!run.direct) {
-    unheard(machine, 1);
-    job.avoid[machine.name] = core_.now.steady + core_.settings.heartbeat_interval_s;
+    note_undelivered(machine, 1);
+    job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
   }
   run_lost(job, index, "the launch did not arrive");
 }
@@ -272,7 +274,7 @@
 // A run of ours, as the heartbeat shows it. True: it has ended.
 bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) machine.unheard = machine.ask_failures = 0;  // it took an order
+  if (!run.seen) machine.undelivered = machine.probe_failures = 0;  // it took an order
   run.seen = true;
   if (task.phase == TaskPhase::kExited) {
     task_exited(machine, job, index, task);
@@ -286,16 +288,16 @@
 }
 
 void Scheduler::run_began(Machine& machine, Job& job, TaskRun& run) {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   run.running_since = now;
   machine.fetching += (now - run.launched_at) * job.spec.cpus;
   machine.images[job.spec.image] = now;
   if (job.first_start != 0) return;
   job.first_start = now;
-  const double waited = (core_.now.wall_ms - job.submitted_ms) / 1000.0;
+  const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
   if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
-  core_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
-                       std::max(0.0, waited));
+  context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
+                          std::max(0.0, waited));
 }
 
 // Tasks that are no runs of ours: an earlier leader's, or old attempts.
@@ -303,7 +305,7 @@
                               const std::set<TaskId>& settled) {
   for (const auto& [id, task] : shown) {
     if (settled.contains(id)) continue;
-    if (const Job* job = core_.jobs.find(id.job)) {
+    if (const Job* job = context_.jobs.find(id.job)) {
       const auto run = job->runs.find(id.index);
       if (run != job->runs.end() && run->second.machine == machine.name &&
           run->second.attempt == task->attempt)
@@ -321,7 +323,7 @@
 }
 
 void Scheduler::adopt(Machine& machine, const TaskStatus& task) {
-  Job* job = core_.jobs.find(task.task.job);
+  Job* job = context_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
     clear_later(machine, task);
     if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
@@ -341,9 +343,9 @@
                       !job->runs.contains(task.task.index) &&
                       (!job->spec.gang || job->attempt == 0 || job->attempt == task.attempt);
   if (!wanted) {
-    auto strays = machine.strays;
-    strays.push_back(task);
-    set_strays(machine, std::move(strays));
+    auto unknown_tasks = machine.unknown_tasks;
+    unknown_tasks.push_back(task);
+    set_unknown_tasks(machine, std::move(unknown_tasks));
     return;
   }
   TaskRun run;
@@ -352,15 +354,15 @@
   run.state = RunState::kPresent;
   run.phase = task.phase;
   run.seen = true;
-  run.planned_at = run.launched_at = run.running_since = core_.now.steady;
+  run.planned_at = run.launched_at = run.running_since = context_.now.steady;
   job->attempt = task.attempt;
   place_run(*job, task.task.index, run, machine);
-  machine.images[job->spec.image] = core_.now.steady;
+  machine.images[job->spec.image] = context_.now.steady;
   if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
 }
 
 void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   const TaskRun run = job.runs.at(index);
   drop_run(job, index);
   if (run.running_since > 0)
@@ -386,21 +388,21 @@
       if (job.done_count == job.spec.tasks) complete(job);
     }
     clear_later(machine, task);
-    core_.metrics.count("tasks_done");
+    context_.metrics.count("tasks_done");
     return;
   }
   clear_later(machine, task);
   if (job.over()) return;
   switch (task.exit_reason) {
     case ExitReason::kError:
-      blame(machine, job);
+      record_failure(machine, job);
       break;
-    case ExitReason::kNoRoom:
-      job.avoid[machine.name] = now + core_.settings.heartbeat_interval_s * 2;
-      job.backoff_until = std::max(job.backoff_until, now + c::kRoomBackoffS);
+    case ExitReason::kInsufficientResources:
+      job.avoid[machine.name] = now + context_.settings.heartbeat_interval_s * 2;
+      job.backoff_until = std::max(job.backoff_until, now + c::kInsufficientResourcesBackoffS);
       break;
     case ExitReason::kBusy:
-      job.backoff_until = std::max(job.backoff_until, now + core_.settings.heartbeat_interval_s);
+      job.backoff_until = std::max(job.backoff_until, now + context_.settings.heartbeat_interval_s);
       break;
     case ExitReason::kUnknown:
       job.backoff_until = std::max(job.backoff_until, now + c::kUnknownBackoffS);
@@ -416,7 +418,7 @@
 }
 
 void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
-  core_.metrics.count("tasks_lost");
+  context_.metrics.count("tasks_lost");
   spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
   drop_run(job, index);
   if (job.over()) return;
@@ -427,23 +429,24 @@
 void Scheduler::lose_tasks(Machine& machine, const char* why) {
   const auto tasks = machine.tasks;
   for (const auto& id : tasks) {
-    if (Job* job = core_.jobs.find(id.job)) run_lost(*job, id.index, why);
+    if (Job* job = context_.jobs.find(id.job)) run_lost(*job, id.index, why);
   }
-  set_strays(machine, {});
-  clear_unseen(machine);
-  const auto holds = machine.holds;
-  for (const auto id : holds)
-    if (Job* job = core_.jobs.find(id)) {
-      release_holds(*job);
-      if (job->gang == GangState::kHolding) JobLedger::set_gang(*job, GangState::kQueued, core_.now.steady);
+  set_unknown_tasks(machine, {});
+  mark_reconciled(machine);
+  const auto reservations = machine.reservations;
+  for (const auto id : reservations)
+    if (Job* job = context_.jobs.find(id)) {
+      release_reservations(*job);
+      if (job->gang == GangState::kReserving)
+        JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
     }
   dirty_ = true;
 }
 
 // A failed task speaks against its machine, its job, or both: a machine that fails different jobs is set
 // aside, a job that fails on different machines is tried ever more rarely.
-void Scheduler::blame(Machine& machine, Job& job) {
-  const double now = core_.now.steady;
+void Scheduler::record_failure(Machine& machine, Job& job) {
+  const double now = context_.now.steady;
   ++machine.errors;
   machine.error_jobs.insert(job.spec.id);
   job.failed_on.insert(machine.name);
@@ -459,57 +462,57 @@
   const bool sick = static_cast<int>(machine.error_jobs.size()) >= c::kMachineSuspectErrors ||
                     (works_elsewhere && machine.errors > c::kMachineSuspectErrors);
   spdlog::info("task of {} failed on {} ({} in a row there)", name_of(job), machine.name, machine.errors);
-  if (sick && !machine.set_aside) {
-    set_aside(machine, "it fails the tasks of different jobs");
+  if (sick && !machine.cordoned) {
+    cordon(machine, "it fails the tasks of different jobs");
     stop_machine_tasks(machine, "machine set aside");
   }
 }
 
-void Scheduler::set_aside(Machine& machine, const char* why) {
-  if (machine.set_aside) return;
-  machine.set_aside = true;
-  core_.metrics.count("machines_set_aside");
+void Scheduler::cordon(Machine& machine, const char* why) {
+  if (machine.cordoned) return;
+  machine.cordoned = true;
+  context_.metrics.count("machines_set_aside");
   spdlog::info("machine {} is set aside: {}", machine.name, why);
 }
 
 // Orders that newer heartbeats show were never taken. Whether the machine is deaf is settled by a question.
-void Scheduler::unheard(Machine& machine, int by) {
-  machine.unheard += by;
-  if (machine.unheard >= c::kUnheardMost) doubt(machine);
+void Scheduler::note_undelivered(Machine& machine, int by) {
+  machine.undelivered += by;
+  if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
 }
 
-void Scheduler::doubt(Machine& machine) {
-  if (machine.asking > 0 || core_.now.steady - machine.asked_at < c::kDoubtEveryS) return;
-  ask(machine);
+void Scheduler::probe_if_suspect(Machine& machine) {
+  if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeEveryS) return;
+  probe(machine);
 }
 
 void Scheduler::launched(Machine& machine, Job& job, TaskRun& run, bool direct) {
   JobLedger::set_run(job, run, RunState::kLaunched);
-  run.launched_at = core_.now.steady;
+  run.launched_at = context_.now.steady;
   run.launch_agent_epoch = machine.agent_epoch;
   run.launch_seq = machine.seq;
   run.direct = direct;
-  core_.metrics.count(direct ? "launches_direct" : "launches");
+  context_.metrics.count(direct ? "launches_direct" : "launches");
   if (first_launch_seen_) return;
   first_launch_seen_ = true;
-  core_.metrics.record(Metrics::Spread::kTakeover, core_.now.steady - began_);
-  spdlog::info("first launch {:.2f} s into term {}", core_.now.steady - began_, election_.term());
+  context_.metrics.record(Metrics::Spread::kFailover, context_.now.steady - began_);
+  spdlog::info("first launch {:.2f} s into term {}", context_.now.steady - began_, election_.term());
 }
 
 std::vector<Command> Scheduler::commands_for(Machine& machine) {
   std::vector<Command> commands;
   const bool may_launch = may_place() && machine.state == MachineState::kUp && machine.recorded;
-  const auto room = [&] { return commands.size() < c::kCommandsMax; };
-  for (const auto& stray : machine.strays)
-    if (room()) commands.push_back({Command::Op::kStop, stray.task, stray.attempt, 0});
+  const auto has_space = [&] { return commands.size() < c::kCommandsMax; };
+  for (const auto& unknown_task : machine.unknown_tasks)
+    if (has_space()) commands.push_back({Command::Op::kStop, unknown_task.task, unknown_task.attempt, 0});
   // Completions may be cleared before they are durable: a task that is started again ends at once, as done.
   if (election_.valid()) {
     for (const auto& clear : machine.clears)
-      if (room()) commands.push_back({Command::Op::kClear, clear.task, clear.attempt, 0});
+      if (has_space()) commands.push_back({Command::Op::kClear, clear.task, clear.attempt, 0});
   }
   for (const auto& id : machine.tasks) {
-    Job* job = core_.jobs.find(id.job);
-    if (job == nullptr || !room()) continue;
+    Job* job = context_.jobs.find(id.job);
+    if (job == nullptr || !has_space()) continue;
     auto& run = job->runs.at(id.index);
     if (run.state == RunState::kStopping) {
       // A direct launch that nobody answered may still come. Begun and ended here it stays listed as ended,
