--- a/src/coordination/request_routing.cpp
+++ b/src/coordination/request_routing.cpp
@@ -20,11 +20,11 @@
 }  // namespace
 
 std::string Controller::leader_member() const {
-  if (election_.role() == Role::kLeading) return core_.settings.member;
+  if (election_.role() == Role::kLeading) return context_.settings.member;
   std::string best;
   std::uint64_t term = 0;
   for (const auto& [member, peer] : peers_) {
-    if (!peer.up || !peer.leading || core_.now.steady - peer.last_contact > c::kPeerFreshS ||
+    if (!peer.up || !peer.leading || context_.now.steady - peer.last_contact > c::kPeerFreshS ||
         peer.term < term)
       continue;
     best = member;
@@ -44,22 +44,22 @@
 // Without the state service and without any other controller nobody will lead from here: workers should go
 // elsewhere.
 bool Controller::leader_may_appear() const {
-  if (core_.state.reachable(core_.now.steady)) return true;
+  if (context_.state.reachable(context_.now.steady)) return true;
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return core_.now.steady - entry.second.last_contact < c::kPeerFreshS;
+    return context_.now.steady - entry.second.last_contact < c::kPeerFreshS;
   });
 }
 
 void Controller::route(std::uint64_t key) {
   auto& waiting = waiting_.at(key);
   const std::string leader = leader_member();
-  if (waiting.from_peer || leader == core_.settings.member || (leader.empty() && !waiting.is_heartbeat) ||
+  if (waiting.from_peer || leader == context_.settings.member || (leader.empty() && !waiting.is_heartbeat) ||
       (waiting.is_heartbeat && scheduler_.phase() != LeaderPhase::kNone))
     return serve(key);
   if (leader.empty()) {
     if (!leader_may_appear()) return answer_heartbeat(key, 421, {}, 0);
     // A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
-    if (parked_ >= core_.per_machine(c::kParkedPerMb)) return answer_heartbeat(key, 503, {}, 0);
+    if (parked_ >= context_.per_machine(c::kParkedPerMb)) return answer_heartbeat(key, 503, {}, 0);
     set_state(waiting, Waiting::State::kParked);
     return;
   }
@@ -72,7 +72,7 @@
 
 void Controller::forward_heartbeat(std::uint64_t key, const std::string& member) {
   auto& waiting = waiting_.at(key);
-  if (forwarded_ >= core_.per_machine(c::kForwardPerMb)) return answer_heartbeat(key, 503, {}, 0);
+  if (forwarded_ >= context_.per_machine(c::kForwardPerMb)) return answer_heartbeat(key, 503, {}, 0);
   set_state(waiting, Waiting::State::kForwarded);
   waiting.at = member;
   waiting.forward_deadline = waiting.deadline;
@@ -93,12 +93,12 @@
 
 void Controller::forward(std::uint64_t key, const std::string& member) {
   auto& waiting = waiting_.at(key);
-  if (forwarded_ >= core_.per_memory(c::kForwardPerMb))
+  if (forwarded_ >= context_.per_memory(c::kForwardPerMb))
     return answer(key, 503, c::kRetryAfterS, protocol::error_json("too many requests"));
   if (waiting.target == n::kPathJobs) quota_leases_.grant_submission(member, waiting.body);
   set_state(waiting, Waiting::State::kForwarded);
   waiting.at = member;
-  waiting.forward_deadline = core_.now.steady + c::kForwardTimeoutS;
+  waiting.forward_deadline = context_.now.steady + c::kForwardTimeoutS;
   PeerMessage message;
   message.kind = PeerKind::kForward;
   message.request = key;
@@ -109,12 +109,13 @@
 }
 
 std::string Controller::lighter_member() {
-  const double now = core_.now.steady;
+  const double now = context_.now.steady;
   if (now - heartbeat_window_began_ >= 1) {
     heartbeat_window_began_ = now;
     heartbeats_taken_ = 0;
   }
-  if (++heartbeats_taken_ <= static_cast<std::size_t>(core_.settings.cpu_share * c::kDirectHeartbeatsPerCore))
+  if (++heartbeats_taken_ <=
+      static_cast<std::size_t>(context_.settings.cpu_share * c::kDirectHeartbeatsPerCore))
     return {};
   std::vector<const std::string*> fresh;
   for (const auto& [member, peer] : peers_)
@@ -157,7 +158,7 @@
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
   if (!election_.may_announce_cancellation(*reply.cancelled)) {
-    core_.metrics.count("withdrawals_not_told_yet");
+    context_.metrics.count("withdrawals_not_told_yet");
     return answer(key, 503, c::kRetryAfterS,
                   protocol::error_json("it is withdrawn, and another controller has yet to hear of it"));
   }
@@ -168,11 +169,11 @@
 // whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it says that
 // it knows.
 void Controller::announce_cancellation(protocol::JobId id) {
-  if (!core_.cancellations.announce(id)) return;
+  if (!context_.cancellations.announce(id)) return;
   for (const auto& [member, peer] : peers_) {
     PeerMessage message;
     message.kind = PeerKind::kCancellationsAnnounced;
-    message.first = core_.cancellations.announced();
+    message.first = context_.cancellations.announced();
     message.jobs = {id};
     send(member, std::move(message));
     flush(member);
@@ -187,7 +188,7 @@
   waiting_.erase(found);
   if (!waiting.is_heartbeat) --places_taken(waiting);
   if (!waiting.from_peer) {
-    core_.out.replies.push_back({waiting.token, status, retry_after_s, std::move(body), false});
+    context_.out.replies.push_back({waiting.token, status, retry_after_s, std::move(body), false});
     return;
   }
   PeerMessage message;
@@ -207,7 +208,7 @@
   const Waiting waiting = std::move(found->second);
   waiting_.erase(found);
   if (!waiting.from_peer) {
-    core_.out.replies.push_back(
+    context_.out.replies.push_back(
         {waiting.token, status, 0, status == 200 ? protocol::commands_json(term, commands) : "{}", false});
     return;
   }
--- a/src/coordination/scheduler.hpp
+++ b/src/coordination/scheduler.hpp
@@ -1,5 +1,5 @@
-// The leader's work: heartbeats in, commands out; gangs in rounds of holds, arrays into the room that
-// heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
+// The leader's work: heartbeats in, commands out; gangs in rounds of reservations, arrays into the resources
+// that heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
 // gangs; direct.cpp direct commands.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 #include "constants.hpp"
 #include "coordination/change_log.hpp"
-#include "coordination/core.hpp"
+#include "coordination/controller_context.hpp"
 #include "coordination/dependencies.hpp"
 #include "coordination/election.hpp"
 #include "coordination/job_lookup.hpp"
@@ -25,10 +25,10 @@
 namespace robinford::coordination {
 
 enum class LeaderPhase : std::uint8_t {
-  kNone,       // not the leader
-  kLoading,    // reads the ledger
-  kGathering,  // waits for a full round of heartbeats
-  kServing,    // places
+  kNone,         // not the leader
+  kLoading,      // reads the ledger
+  kReconciling,  // waits for a full round of heartbeats
+  kServing,      // places
 };
 const char* to_text(LeaderPhase phase);
 
@@ -49,7 +49,7 @@
     std::function<void(std::uint64_t key, int status, std::vector<protocol::Command> commands)> answer;
     std::function<void(const DirectCall& call)> direct;
   };
-  Scheduler(Core& core, Election& election, const PeerVersions& versions, Actions actions);
+  Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions, Actions actions);
 
   void begin();  // elected: forget everything, load the ledger
   void end();    // not the leader any more
@@ -69,7 +69,7 @@
   bool dependencies_settled() const { return dependencies_.settled(); }
   // Answers about jobs may come from these books.
   bool knows_all_jobs() const {
-    return election_.valid() && (phase_ == LeaderPhase::kGathering || phase_ == LeaderPhase::kServing);
+    return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up();
@@ -91,7 +91,8 @@
 
   // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
-    if (phase_ == LeaderPhase::kGathering && unseen_total_ == 0) gather_until_ = core_.now.steady;
+    if (phase_ == LeaderPhase::kReconciling && unreconciled_total_ == 0)
+      reconcile_until_ = context_.now.steady;
   }
   // The cloud confirmed that the machine is gone.
   void machine_gone(bookkeeping::Machine& machine);
@@ -99,7 +100,7 @@
   double lease_over_at(const bookkeeping::Machine& machine) const;
   double last_answer_at(const bookkeeping::Machine& machine) const;
   void stop_answering(bookkeeping::Machine& machine);
-  // A silent machine that is worth giving up.
+  // A unresponsive machine that is worth giving up.
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
   // Time until the job should be over: by its own due time or by its class's aim.
@@ -109,7 +110,7 @@
   bool suits_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fits; }
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
   static bool has_gang(const bookkeeping::Machine& machine) {
-    return machine.gang_tasks > 0 || !machine.holds.empty();
+    return machine.gang_tasks > 0 || !machine.reservations.empty();
   }
   // The last gang of which each task takes most of a machine; if there was none, the last gang.
   const protocol::JobSpec* typical_gang() const;
@@ -120,7 +121,7 @@
   double array_load(double boot_s) const;
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
-  std::size_t unseen_machines() const { return unseen_total_; }
+  std::size_t unreconciled_machines() const { return unreconciled_total_; }
   // What is wrong with the running books, by a count of everything; empty when nothing is. For tests.
   std::string audit();
 
@@ -140,11 +141,11 @@
   void load_failed(std::function<void()> again);
   void load_dependencies();
   void loaded();
-  bool gathered();
+  bool reconciled();
   // ---- heartbeats ----
   bool entitled(std::uint64_t key, std::uint64_t fencing_token);
   void first_contact(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
-  void heard(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
+  void record_contact(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
   void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, bool direct);
   struct HeartbeatContext {
     bool agent_restarted;  // of the machine, since its last heartbeat
@@ -160,7 +161,7 @@
   void adopt_unknown(bookkeeping::Machine& machine,
                      const std::map<protocol::TaskId, const protocol::TaskStatus*>& shown,
                      const std::set<protocol::TaskId>& settled);
-  void confirm_holds(bookkeeping::Machine& machine);
+  void confirm_reservations(bookkeeping::Machine& machine);
   void serve_machine(std::uint64_t key, bookkeeping::Machine& machine);
   void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
   void task_exited(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
@@ -170,21 +171,21 @@
   std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
   void run_lost(bookkeeping::Job& job, std::uint32_t index, const char* why);
   void lose_tasks(bookkeeping::Machine& machine, const char* why);
-  void blame(bookkeeping::Machine& machine, bookkeeping::Job& job);
-  void unheard(bookkeeping::Machine& machine, int by);
-  void doubt(bookkeeping::Machine& machine);
-  void set_aside(bookkeeping::Machine& machine, const char* why);
-  // ---- running books: every run and hold comes and goes through these ----
+  void record_failure(bookkeeping::Machine& machine, bookkeeping::Job& job);
+  void note_undelivered(bookkeeping::Machine& machine, int by);
+  void probe_if_suspect(bookkeeping::Machine& machine);
+  void cordon(bookkeeping::Machine& machine, const char* why);
+  // ---- running books: every run and reservation comes and goes through these ----
   void place_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
                  bookkeeping::Machine& machine);
   void note_grant(bookkeeping::Job& job);
   void drop_run(bookkeeping::Job& job, std::uint32_t index);
   void give_back(bookkeeping::Job& job, std::uint32_t index);
-  void add_hold(bookkeeping::Job& job, bookkeeping::Machine& machine);
-  void release_holds(bookkeeping::Job& job);
-  void set_strays(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> strays);
-  void clear_unseen(bookkeeping::Machine& machine);
-  void count_unseen();
+  void add_reservation(bookkeeping::Job& job, bookkeeping::Machine& machine);
+  void release_reservations(bookkeeping::Job& job);
+  void set_unknown_tasks(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> unknown_tasks);
+  void mark_reconciled(bookkeeping::Machine& machine);
+  void count_unreconciled();
   // ---- placing ----
   struct Rank {
     bool borrows;
@@ -203,8 +204,8 @@
   void sort_tiers();
   void survey();
   void sort_queues();
-  int room_class(const bookkeeping::Machine& machine) const;
-  bool array_fits(bookkeeping::Job& job, bookkeeping::Machine& machine, const Room& room,
+  int capacity_class(const bookkeeping::Machine& machine) const;
+  bool array_fits(bookkeeping::Job& job, bookkeeping::Machine& machine, const Resources& resources,
                   std::uint32_t& slots);
   std::uint32_t fill(bookkeeping::Machine& machine);
   void fill_idle();
@@ -212,7 +213,7 @@
   bool place_gang(bookkeeping::Job& job, std::vector<Offer>& open);
   void preempt_for(bookkeeping::Job& job);
   void free_quota_for(bookkeeping::Job& job);
-  void claim_rooms(const bookkeeping::Job& job);
+  void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
   void check_gang(bookkeeping::Job& job);
   void stop_gang(bookkeeping::Job& job, bool orderly, const char* why);
@@ -221,13 +222,13 @@
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
   // ---- direct commands ----
   bool directly() const { return directly_; }
-  bool direct_room() const {
+  bool can_send_direct() const {
     return open_direct_.size() <
-           static_cast<std::size_t>(core_.settings.max_connections / constants::kDirectSocketPart);
+           static_cast<std::size_t>(context_.settings.max_connections / constants::kDirectSocketPart);
   }
   void direct(bookkeeping::Machine& machine, std::vector<protocol::Command> commands);
-  void ask(bookkeeping::Machine& machine) { direct(machine, {}); }
-  void ask_unseen();
+  void probe(bookkeeping::Machine& machine) { direct(machine, {}); }
+  void probe_unreconciled();
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
@@ -253,7 +254,7 @@
   const char* why_waiting(const bookkeeping::Job& job) const;
   void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run, bool direct);
 
-  Core& core_;
+  ControllerContext& context_;
   Election& election_;
   const PeerVersions& versions_;
   Actions actions_;
@@ -263,8 +264,8 @@
   const bool directly_;  // launches go straight to workers
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
-  double began_ = 0, serving_since_ = 0, gather_until_ = 0, next_gather_look_ = 0;
-  double last_round_ = 0, next_watch_ = 0, next_sweep_ = 0, next_tell_ = 0;
+  double began_ = 0, serving_since_ = 0, reconcile_until_ = 0, next_reconcile_check_ = 0;
+  double last_round_ = 0, next_watch_ = 0, next_sweep_ = 0, next_log_ = 0;
   bool dirty_ = false;
   bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
   bool first_launch_seen_ = false;
@@ -272,7 +273,7 @@
   std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
-  std::set<std::string> overdue_;            // machines that may hold cancelled work
+  std::set<std::string> overdue_;            // machines that may reservation cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
   std::deque<std::pair<double, protocol::JobSpec>> recent_gangs_;
@@ -285,13 +286,13 @@
   std::set<std::string> claimed_;  // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;        // machines with tasks that are to stop
-  std::set<std::string> stray_machines_;  // machines that show tasks nobody wants
-  std::map<Kind, int> unseen_;            // machines that may hold tasks of earlier leaders, by kind
-  std::size_t unseen_total_ = 0;
-  bool unseen_dirty_ = false;
-  std::deque<std::string> to_ask_;  // unseen machines to be asked directly
-  bookkeeping::TokenBucket ask_budget_;
+  std::set<std::string> stopping_;               // machines with tasks that are to stop
+  std::set<std::string> unknown_task_machines_;  // machines that show tasks nobody wants
+  std::map<Kind, int> unreconciled_;  // machines that may reservation tasks of earlier leaders, by kind
+  std::size_t unreconciled_total_ = 0;
+  bool unreconciled_dirty_ = false;
+  std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
+  bookkeeping::TokenBucket probe_budget_;
   std::map<std::string, std::vector<bookkeeping::Job*>>
       queues_;  // arrays with tasks to place, by team, in order
   bool queues_dirty_ = false;
@@ -311,7 +312,7 @@
   };
   std::map<std::uint64_t, OpenDirect> open_direct_;
   std::uint64_t direct_counter_ = 0;
-  std::size_t deaf_ = 0;  // machines set aside because they hear nothing
+  std::size_t unreachable_ = 0;  // machines set aside because they hear nothing
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -17,12 +17,12 @@
 
 void Scheduler::begin() {
   ++generation_;
-  began_ = core_.now.steady;
+  began_ = context_.now.steady;
   first_launch_seen_ = false;
   attempt_counter_ = 0;
-  core_.jobs.clear();
-  core_.machines.clear();
-  core_.quota.clear();
+  context_.jobs.clear();
+  context_.machines.clear();
+  context_.quota.clear();
   early_.clear();
   waiting_gangs_.clear();
   reading_.clear();
@@ -32,16 +32,16 @@
   loading_dependencies_ = false;
   queues_.clear();
   stopping_.clear();
-  stray_machines_.clear();
-  unseen_.clear();
-  unseen_total_ = 0;
-  to_ask_.clear();
+  unknown_task_machines_.clear();
+  unreconciled_.clear();
+  unreconciled_total_ = 0;
+  to_probe_.clear();
   open_direct_.clear();
   gang_kept_.clear();
-  deaf_ = 0;
+  unreachable_ = 0;
   queues_dirty_ = dirty_ = true;
   next_queues_ = next_survey_ = next_watch_ = next_sweep_ = next_tiers_ = 0;
-  core_.writer.set_guard("lead", election_.mod_revision(), [this] { election_.guard_lost(); });
+  context_.writer.set_guard("lead", election_.mod_revision(), [this] { election_.guard_lost(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
@@ -49,15 +49,15 @@
 void Scheduler::end() {
   ++generation_;
   change_log_.end();
-  core_.writer.clear_guard();
+  context_.writer.clear_guard();
   for (const auto& [key, heartbeat] : early_) actions_.answer(key, 421, {});
   early_.clear();
   waiting_gangs_.clear();
   queues_.clear();
   open_direct_.clear();
-  core_.jobs.clear();
-  core_.machines.clear();
-  core_.quota.clear();
+  context_.jobs.clear();
+  context_.machines.clear();
+  context_.quota.clear();
   dependencies_.clear();
   loading_dependencies_ = false;
   set_phase(LeaderPhase::kNone);
@@ -66,12 +66,12 @@
 void Scheduler::load_failed(std::function<void()> again) {
   // A page that did not come is asked for again by a cheap read after a pause; the lease bounds how long this
   // goes on.
-  const double since = core_.now.steady;
-  core_.state.read(
+  const double since = context_.now.steady;
+  context_.state.read(
       "term",
       [this, again = std::move(again), since, generation = generation_](const bookkeeping::StateRead&) {
         if (generation != generation_ || phase_ != LeaderPhase::kLoading) return;
-        if (core_.now.steady - since > c::kLoadRetryS || core_.state.reachable(core_.now.steady))
+        if (context_.now.steady - since > c::kLoadRetryS || context_.state.reachable(context_.now.steady))
           again();
         else
           load_failed(again);
@@ -87,20 +87,20 @@
 }
 
 void Scheduler::load_jobs(const std::string& after) {
-  core_.state.list(
+  context_.state.list(
       bookkeeping::kLiveJobPrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
         if (!page) return load_failed([this, after] { load_jobs(after); });
         for (const auto& item : page->items) {
-          auto job = JobLedger::from_record(item.value, item.mod_revision, core_.now.steady);
+          auto job = JobLedger::from_record(item.value, item.mod_revision, context_.now.steady);
           if (!job) {
             spdlog::error("the record {} makes no sense", item.key);
             continue;
           }
           const JobId id = job->spec.id;
           job->before = true;
-          core_.jobs.all()[id] = std::move(job);
+          context_.jobs.all()[id] = std::move(job);
         }
         if (page->more && !page->items.empty()) return load_jobs(page->items.back().key);
         load_machines("");
@@ -108,15 +108,15 @@
 }
 
 void Scheduler::load_machines(const std::string& after) {
-  core_.state.list(
+  context_.state.list(
       bookkeeping::kMachinePrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
         if (!page) return load_failed([this, after] { load_machines(after); });
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
-          if (!core_.machines.read_group(group, item.mod_revision, item.value, core_.now.steady,
-                                         election_.records_since()))
+          if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
+                                            election_.records_since()))
             spdlog::error("the record {} makes no sense", item.key);
         }
         if (page->more && !page->items.empty()) return load_machines(page->items.back().key);
@@ -125,14 +125,14 @@
 }
 
 void Scheduler::load_catalog() {
-  if (!core_.types.empty()) return load_dependencies();
-  core_.state.read(
+  if (!context_.types.empty()) return load_dependencies();
+  context_.state.read(
       "cat",
       [this, generation = generation_](const bookkeeping::StateRead& read) {
         if (generation != generation_) return;
         if (read.found == bookkeeping::StateRead::Found::kYes)
           if (const auto types = protocol::parse_catalog(json::serialize(read.value)))
-            for (const auto& type : *types) core_.types[type.name] = type;
+            for (const auto& type : *types) context_.types[type.name] = type;
         load_dependencies();
       },
       bookkeeping::StateClient::Urgency::kFirst);
@@ -143,7 +143,7 @@
 // on when that is decided.
 void Scheduler::load_dependencies() {
   std::vector<Job*> waiting;
-  for (auto& [id, job] : core_.jobs.all())
+  for (auto& [id, job] : context_.jobs.all())
     if (job->state == JobState::kWaiting) waiting.push_back(job.get());
   for (Job* job : waiting)
     if (job->state == JobState::kWaiting) dependencies_.watch(*job);
@@ -153,38 +153,41 @@
 
 void Scheduler::loaded() {
   loading_dependencies_ = false;
-  for (auto& [name, machine] : core_.machines.all()) {
+  for (auto& [name, machine] : context_.machines.all()) {
     know_type(machine);
-    if (machine.unanswered_since_ms && core_.now.steady > lease_over_at(machine)) machine.unseen = false;
-    if (!machine.unseen) continue;
-    ++unseen_[Kind{machine.type, machine.zone, machine.spot}];
-    ++unseen_total_;
-    if (!machine.addr.empty()) to_ask_.push_back(name);
+    if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
+      machine.unreconciled = false;
+    if (!machine.unreconciled) continue;
+    ++unreconciled_[Kind{machine.type, machine.zone, machine.spot}];
+    ++unreconciled_total_;
+    if (!machine.addr.empty()) to_probe_.push_back(name);
   }
-  for (auto& [id, job] : core_.jobs.all()) {
+  for (auto& [id, job] : context_.jobs.all()) {
     // The list may have been made just before another controller withdrew the job.
-    if (const auto state = core_.jobs.final_state(id); state && !job->over()) {
+    if (const auto state = context_.jobs.final_state(id); state && !job->over()) {
       job_over(*job, *state);
       read_job(id);
     }
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
     if (job->state == JobState::kActive) arrived(*job);
   }
-  count_unseen();
-  // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
-  // one that hangs also after its lease.
-  for (const auto& [id, job] : core_.jobs.all()) {
+  count_unreconciled();
+  // Any machine that has proved nothing yet may reservation tasks of what was cancelled under an earlier
+  // leader, and one that hangs also after its lease.
+  for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
-    for (auto& [name, machine] : core_.machines.all())
-      if ((machine.unseen || machine.unanswered_since_ms) &&
+    for (auto& [name, machine] : context_.machines.all())
+      if ((machine.unreconciled || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
         expect_cancelled_work_gone(machine, *job);
   }
-  core_.cancellations.change_log_read(election_.last_renewed());
-  const double round = core_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
-  gather_until_ = core_.now.steady + (unseen_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
-  spdlog::info("ledger read: {} jobs, {} machines", core_.jobs.all().size(), core_.machines.all().size());
-  set_phase(LeaderPhase::kGathering);
+  context_.cancellations.change_log_read(election_.last_renewed());
+  const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  reconcile_until_ =
+      context_.now.steady + (unreconciled_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
+  spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
+               context_.machines.all().size());
+  set_phase(LeaderPhase::kReconciling);
   auto early = std::move(early_);
   early_.clear();
   for (auto& [key, body] : early) heartbeat(key, body);
@@ -192,28 +195,28 @@
 
 // A full round: every machine that an earlier leader may have used has proved what is on it, or does not
 // answer.
-bool Scheduler::gathered() {
-  const double now = core_.now.steady;
-  if (now >= gather_until_) return true;
-  if (now < next_gather_look_) return false;
-  next_gather_look_ = now + c::kGatherLookS;
+bool Scheduler::reconciled() {
+  const double now = context_.now.steady;
+  if (now >= reconcile_until_) return true;
+  if (now < next_reconcile_check_) return false;
+  next_reconcile_check_ = now + c::kReconcileCheckS;
   bool any = false;
-  for (const auto& [name, machine] : core_.machines.all()) {
-    // One unanswered question is enough here: a silent machine proves nothing by being waited for, and what
-    // may be on it stays blocked until it does.
-    if (machine.unseen && machine.ask_failures == 0) return false;
+  for (const auto& [name, machine] : context_.machines.all()) {
+    // One unanswered question is enough here: a unresponsive machine proves nothing by being waited for, and
+    // what may be on it stays blocked until it does.
+    if (machine.unreconciled && machine.probe_failures == 0) return false;
     any = any || machine.saw_term;
   }
   return any;
 }
 
 void Scheduler::know_type(Machine& machine) {
-  const auto found = core_.types.find(machine.type);
-  if (found == core_.types.end()) return;
+  const auto found = context_.types.find(machine.type);
+  if (found == context_.types.end()) return;
   machine.cpus = found->second.cpus;
   machine.gpus = found->second.gpus;
   machine.memory_gb = found->second.memory_gb;
-  machine.room_known = false;
+  machine.free_resources_known = false;
 }
 
 }  // namespace robinford::coordination
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -99,8 +99,8 @@
   return result;
 }
 
-std::string rent_json(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                      int count) {
+std::string provision_json(const std::string& request, const std::string& type, const std::string& zone,
+                           bool spot, int count) {
   json::object object;
   object[n::kRequest] = request;
   object[n::kType] = type;
@@ -118,7 +118,7 @@
   return json::serialize(object);
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
+std::optional<std::vector<std::string>> parse_provisioned(std::string_view body) {
   const auto value = parse_json(body);
   if (!value || !value->is_object()) return std::nullopt;
   const auto* list = field(value->get_object(), n::kMachines);
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -51,7 +51,7 @@
   kPeers,
   kAlone,
   kError,
-  kNoRoom,
+  kInsufficientResources,
   kBusy,
   kUnknown
 };
@@ -120,10 +120,10 @@
   bool more = false;
 };
 std::optional<MachineList> parse_machines(std::string_view body);
-std::string rent_json(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                      int count);
+std::string provision_json(const std::string& request, const std::string& type, const std::string& zone,
+                           bool spot, int count);
 std::string return_json(const std::vector<std::string>& machines);
-std::optional<std::vector<std::string>> parse_rented(std::string_view body);
+std::optional<std::vector<std::string>> parse_provisioned(std::string_view body);
 
 std::string job_state_json(JobId id, const char* state);
 std::string job_poll_json(JobId id, const char* state, std::uint64_t done, std::uint64_t running);
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -76,7 +76,7 @@
 inline constexpr char kExitPeers[] = "mates_gone";
 inline constexpr char kExitAlone[] = "alone";
 inline constexpr char kExitError[] = "error";
-inline constexpr char kExitNoRoom[] = "full";
+inline constexpr char kExitInsufficientResources[] = "full";
 inline constexpr char kExitBusy[] = "in_use";
 inline constexpr char kExitUnknown[] = "unknown";
 
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -231,13 +231,13 @@
       put_varint(out, m.status);
       put_commands(out, m.commands);
       break;
-    case PeerKind::kAsk:
+    case PeerKind::kProbe:
       put_varint(out, m.request);
       put_text(out, m.target);
       put_varint(out, m.base_seq);
       put_commands(out, m.commands);
       break;
-    case PeerKind::kAsked:
+    case PeerKind::kProbeResult:
       put_varint(out, m.request);
       put_varint(out, m.status);
       if (m.status != 0) put_heartbeat(out, m.heartbeat);
@@ -289,11 +289,11 @@
     case static_cast<std::uint64_t>(PeerKind::kCommands):
       good = take_number(in, m.request) && take_number(in, m.status) && take_commands(in, m.commands);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kAsk):
+    case static_cast<std::uint64_t>(PeerKind::kProbe):
       good = take_number(in, m.request) && take_text(in, m.target) && take_number(in, m.base_seq) &&
              take_commands(in, m.commands);
       break;
-    case static_cast<std::uint64_t>(PeerKind::kAsked):
+    case static_cast<std::uint64_t>(PeerKind::kProbeResult):
       good = take_number(in, m.request) && take_number(in, m.status) &&
              (m.status == 0 || take_heartbeat(in, m.heartbeat));
       break;
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -25,7 +25,7 @@
 constexpr std::pair<ExitReason, const char*> kExitReasonNames[] = {
     {ExitReason::kDone, n::kExitDone},   {ExitReason::kStopped, n::kExitStopped},
     {ExitReason::kPeers, n::kExitPeers}, {ExitReason::kAlone, n::kExitAlone},
-    {ExitReason::kError, n::kExitError}, {ExitReason::kNoRoom, n::kExitNoRoom},
+    {ExitReason::kError, n::kExitError}, {ExitReason::kInsufficientResources, n::kExitInsufficientResources},
     {ExitReason::kBusy, n::kExitBusy},   {ExitReason::kUnknown, n::kExitUnknown}};
 constexpr std::pair<Command::Op, const char*> kOps[] = {{Command::Op::kLaunch, n::kOpLaunch},
                                                         {Command::Op::kStop, n::kOpStop},
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -1,9 +1,9 @@
 // The lessee: grants capacity of the teams' limits from this controller's lease, without asking anybody.
 //
-// Invariant: for each team, what outstanding grants promise is at most the part that the lessee holds, and
-// the part that it holds is at most what the lessor counts as leased to it. Nothing is granted once the lease
-// could be over by the lessor's clock, however late the call comes: each grant compares with the present
-// moment.
+// Invariant: for each team, what outstanding grants promise is at most the part that the lessee reservations,
+// and the part that it reservations is at most what the lessor counts as leased to it. Nothing is granted
+// once the lease could be over by the lessor's clock, however late the call comes: each grant compares with
+// the present moment.
 #pragma once
 
 #include <cstdint>
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -38,7 +38,7 @@
 struct JobView {
   enum class State : std::uint8_t { kUnknown, kLive, kOver } state = State::kUnknown;
   std::uint32_t remaining = 0;  // tasks that are not done
-  std::uint32_t placed = 0;     // tasks that are, or may be, on machines, and holds
+  std::uint32_t placed = 0;     // tasks that are, or may be, on machines, and reservations
 };
 
 // A record as it was read.
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -28,7 +28,7 @@
   std::map<std::string, std::vector<LeaseRecord>> by_member;
   for (const auto& stored : records) load_record(stored, by_member);
   for (const auto& [member, slices] : by_member) {
-    // Our own process holds nothing while it leads, and a former process of ours is over.
+    // Our own process reservations nothing while it leads, and a former process of ours is over.
     if (member == settings_.member) {
       write_all_records(member, now + c::kLazyRecordS);
       continue;
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -35,7 +35,7 @@
   bool operator==(const Refund&) const = default;
 };
 
-// The part of a team's limit that the lessee holds, by the last revision that it took.
+// The part of a team's limit that the lessee reservations, by the last revision that it took.
 struct HeldPart {
   std::string team;
   std::uint64_t revision = 0;
@@ -55,10 +55,10 @@
 
 struct LesseeMessage {
   std::uint64_t lessor_incarnation = 0;  // that the numbers belong to; 0: none yet
-  std::uint64_t epoch = 0;               // of the lease that it holds; 0: none
+  std::uint64_t epoch = 0;               // of the lease that it reservations; 0: none
   std::uint64_t probe = 0;               // moment of sending, for the lessor to echo; 0: asks for nothing
   std::uint64_t refunds_taken = 0;
-  bool with_parts = false;  // `parts` are all that it holds or asks for
+  bool with_parts = false;  // `parts` are all that it reservations or asks for
   std::vector<NewGrant> grants;
   std::vector<HeldPart> parts;
   bool operator==(const LesseeMessage&) const = default;
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -208,7 +208,7 @@
 TEST(AnswerBound, FollowsFromTheSite) {
   EXPECT_NEAR(Cancellations(site("a", 10, 35)).answer_s(), 25 - constants::kCancellationMarginS, 0.1);
   EXPECT_FALSE(Cancellations(site("a", 44, 74)).strict());
-  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kCaretakerBoundS);
+  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kDegradedBoundS);
   EXPECT_TRUE(Cancellations(site("a", 30, 31)).strict());
   EXPECT_TRUE(Cancellations(site("a", 60, 30)).strict());
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -35,8 +35,8 @@
                                PeerKind::kHeartbeat,
                                PeerKind::kUnchangedHeartbeat,
                                PeerKind::kCommands,
-                               PeerKind::kAsk,
-                               PeerKind::kAsked,
+                               PeerKind::kProbe,
+                               PeerKind::kProbeResult,
                                PeerKind::kQuota};
 
 PeerMessage sample(PeerKind kind) {
@@ -54,25 +54,26 @@
   if (kind == PeerKind::kCancellationsAnnounced) m.first = 300, m.jobs = {412, 7, 100000};
   if (kind == PeerKind::kStatus)
     m.probe = 77777, m.echo = 700, m.echo_incarnation = 1u << 30, m.announced = 302, m.taken = 3;
-  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kUnchangedHeartbeat || kind == PeerKind::kAsked) {
-    m.request = 9, m.status = kind == PeerKind::kAsked ? 200 : 0;
+  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kUnchangedHeartbeat ||
+      kind == PeerKind::kProbeResult) {
+    m.request = 9, m.status = kind == PeerKind::kProbeResult ? 200 : 0;
     m.heartbeat.machine = "host-000231", m.heartbeat.agent_epoch = 3, m.heartbeat.seq = 700,
     m.heartbeat.fencing_token = 41;
     m.base_seq = kind == PeerKind::kUnchangedHeartbeat ? 699 : 0;
   }
-  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kAsked) {
+  if (kind == PeerKind::kHeartbeat || kind == PeerKind::kProbeResult) {
     m.heartbeat.addr = "10.1.0.232:9000", m.heartbeat.type = "g8", m.heartbeat.zone = "a",
     m.heartbeat.spot = true, m.heartbeat.interruption_notice_s = 12.5;
     m.heartbeat.tasks = {{{412, 3}, 7, TaskPhase::kRunning, ExitReason::kNone, false},
                          {{412, 4}, 7, TaskPhase::kExited, ExitReason::kStopped, true}};
   }
-  if (kind == PeerKind::kCommands || kind == PeerKind::kAsk) {
+  if (kind == PeerKind::kCommands || kind == PeerKind::kProbe) {
     m.request = 9, m.status = kind == PeerKind::kCommands ? 200 : 0;
     m.commands = {{Command::Op::kLaunch, {412, 3}, 7, 0},
                   {Command::Op::kStop, {412, 4}, 7, 2.25},
                   {Command::Op::kClear, {412, 5}, 6, 0}};
   }
-  if (kind == PeerKind::kAsk) m.target = "10.1.0.232:9000", m.base_seq = 3;
+  if (kind == PeerKind::kProbe) m.target = "10.1.0.232:9000", m.base_seq = 3;
   return m;
 }
 
@@ -121,10 +122,10 @@
        "0306086865726465722d3190e4d0b287d3aeeefe0129090b686f73742d30303032333103bc0529bb05"},
       {PeerKind::kCommands,
        "0307086865726465722d3190e4d0b287d3aeeefe012909c80103009c030307019c030407ca11029c030506"},
-      {PeerKind::kAsk,
+      {PeerKind::kProbe,
        "0308086865726465722d3190e4d0b287d3aeeefe0129090f31302e312e302e3233323a393030300303009c0303"
        "07019c030407ca11029c030506"},
-      {PeerKind::kAsked,
+      {PeerKind::kProbeResult,
        "0309086865726465722d3190e4d0b287d3aeeefe012909c8010b686f73742d30303032333103bc05290f31302e"
        "312e302e3233323a39303030026738016103d461029c030307029c0304079401"}};
   for (const auto& [kind, bytes] : recorded) EXPECT_EQ(hex(encode(sample(kind))), bytes);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -62,7 +62,7 @@
     core.calls.on_result(call.id, {status, R"({"k":")" + key + R"(","stamp":7,"data":)" + data + "}"});
   }
 
-  Core core;
+  ControllerContext core;
   JobLookup lookup;
   Dependencies dependencies;
   std::vector<JobId> ready, cancelled, admitted;
--- a/tests/loopback/site.cpp
+++ b/tests/loopback/site.cpp
@@ -403,7 +403,7 @@
   task.ends_at = now() + kFetchS;
   if (used + specs_.at(command.task.job).cpus > options_.worker_cpus) {
     task.phase = TaskPhase::kExited;
-    task.exit_reason = ExitReason::kNoRoom;
+    task.exit_reason = ExitReason::kInsufficientResources;
   }
   worker.tasks[command.task] = task;
   worker.changed = true;
--- a/tests/machine_ledger_test.cpp
+++ b/tests/machine_ledger_test.cpp
@@ -20,7 +20,7 @@
   return ledger;
 }
 
-TEST(MachineRecord, AnsweredMachineIsNamedAndRestoredAsUnseen) {
+TEST(MachineRecord, AnsweredMachineIsNamedAndRestoredAsUnreconciled) {
   MachineLedger writer = ledger_with_machine();
   std::vector<std::string> named;
   const auto record = writer.group_record(MachineLedger::group_of(kName), kTerm, named);
@@ -30,7 +30,7 @@
   MachineLedger reader;
   ASSERT_TRUE(reader.read_group(MachineLedger::group_of(kName), 1, record, 0, kTerm));
   const Machine& machine = *reader.find(kName);
-  EXPECT_TRUE(machine.unseen);
+  EXPECT_TRUE(machine.unreconciled);
   EXPECT_TRUE(machine.recorded);
   EXPECT_FALSE(machine.unanswered_since_ms);
 }
@@ -60,7 +60,7 @@
   MachineLedger reader;
   ASSERT_TRUE(reader.read_group(MachineLedger::group_of(kName), 1, record, 0, kTerm + 1));
   EXPECT_FALSE(reader.find(kName)->unanswered_since_ms);
-  EXPECT_TRUE(reader.find(kName)->unseen);
+  EXPECT_TRUE(reader.find(kName)->unreconciled);
 }
 
 TEST(MachineRecord, MalformedWordsAreIgnored) {
--- a/tests/machine_records_test.cpp
+++ b/tests/machine_records_test.cpp
@@ -164,10 +164,10 @@
   MachineLedger ledger = read_back(both);
   EXPECT_FALSE(ledger.find(name_of(0))->unanswered_since_ms);
   EXPECT_TRUE(ledger.find(name_of(0))->unanswered_on_record);
-  EXPECT_TRUE(ledger.find(name_of(0))->unseen);
+  EXPECT_TRUE(ledger.find(name_of(0))->unreconciled);
 }
 
-// A machine that is gone during the move holds up nothing.
+// A machine that is gone during the move reservations up nothing.
 TEST(MachineRecords, AMachineThatIsGoneLeavesItsRecord) {
   MachineLedger old;
   add_machines(old, 0, 2);
--- a/tests/measure/lease_measurement.cpp
+++ b/tests/measure/lease_measurement.cpp
@@ -22,7 +22,7 @@
 constexpr double kQuietRate = 4;  // jobs a second over all teams
 constexpr double kBurstRate = 6;  // jobs a second more, of one team
 constexpr std::size_t kWindowSamples = 5;
-constexpr double kDueS = 8;  // without it the fleet holds machines back for work that is in no hurry
+constexpr double kDueS = 8;  // without it the fleet reservations machines back for work that is in no hurry
 constexpr double kSampleS = 0.25;
 constexpr double kStateTimes =
     20;  // of the usual limits of the state service: it must not be what is measured
@@ -44,7 +44,7 @@
   for (int i = 0; i < controllers; ++i) {
     auto* controller = world.controller(i);
     if (controller == nullptr) continue;
-    std::istringstream page(controller->core().metrics.page());
+    std::istringstream page(controller->context().metrics.page());
     double before = 0;
     for (std::string line; std::getline(page, line);) {
       const std::string name = "robinford_grant_wait_seconds_bucket{le=\"";
--- a/tests/peer_versions_test.cpp
+++ b/tests/peer_versions_test.cpp
@@ -60,13 +60,13 @@
   }
 
   bool offers_quota_leases = false;  // of the processes that are shown
-  Core core;
+  ControllerContext core;
   PeerVersions versions;
 };
 
 TEST_F(Registry, NobodyIsNewBeforeItIsRegistered) {
   register_self();
-  versions.heard("herder-1", kFirst);
+  versions.observe("herder-1", kFirst);
   show({{"herder-0", kOwn}, {"herder-1", kFirst}});
   EXPECT_TRUE(versions.understands_dependencies("herder-0"));
   EXPECT_TRUE(versions.understands_dependencies("herder-1"));
@@ -80,10 +80,10 @@
 // A process that came back old wrote no record of its own; the one of its predecessor says nothing about it.
 TEST_F(Registry, AnotherProcessOfAMemberCountsAsOldUntilItRegisters) {
   register_self();
-  versions.heard("herder-1", kFirst);
+  versions.observe("herder-1", kFirst);
   show({{"herder-1", kFirst}});
   ASSERT_TRUE(versions.understands_dependencies("herder-1"));
-  versions.heard("herder-1", kFirst + 1);
+  versions.observe("herder-1", kFirst + 1);
   EXPECT_FALSE(versions.understands_dependencies("herder-1"));
   show({{"herder-1", kFirst}});
   EXPECT_FALSE(versions.understands_dependencies("herder-1"));
@@ -94,8 +94,8 @@
 // A lessee must not talk to a process that does not know quota frames, or has them switched off.
 TEST_F(Registry, OnlyTheRegisteredProcessOffersQuotaLeases) {
   register_self();
-  versions.heard("herder-1", kFirst);
-  versions.heard("herder-2", kSecond);
+  versions.observe("herder-1", kFirst);
+  versions.observe("herder-2", kSecond);
   offers_quota_leases = true;
   show({{"herder-1", kFirst}});
   offers_quota_leases = false;
@@ -103,7 +103,7 @@
   EXPECT_TRUE(versions.serves_quota_leases("herder-1"));
   EXPECT_FALSE(versions.serves_quota_leases("herder-2"));
   EXPECT_FALSE(versions.serves_quota_leases("herder-0"));
-  versions.heard("herder-1", kFirst + 1);
+  versions.observe("herder-1", kFirst + 1);
   EXPECT_FALSE(versions.serves_quota_leases("herder-1"));
 }
 
--- a/tests/quota_property_test.cpp
+++ b/tests/quota_property_test.cpp
@@ -113,7 +113,7 @@
         late_until_ = now_ + 0.05 * amount;
         break;
       case 11:
-        // A leader started with new settings; the lower limit holds for new placements.
+        // A leader started with new settings; the lower limit reservations for new placements.
         limit_ = amount % 3 == 0 ? kLimit / 2 : kLimit;
         depose();
         break;
@@ -388,7 +388,7 @@
 
 TEST(QuotaProperty, NoScheduleOvershootsOrLeaks) {
   ASSERT_EQ(kSeeded, 0);
-  const bool holds =
+  const bool reservations =
       rc::check("limits hold, everything ends and comes back", [](const std::vector<Step>& steps) {
         Simulation simulation;
         simulation.advance(3);
@@ -400,7 +400,7 @@
         simulation.settle();
         if (!simulation.failure.empty()) RC_FAIL(simulation.failure);
       });
-  EXPECT_TRUE(holds);
+  EXPECT_TRUE(reservations);
 }
 
 }  // namespace
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -326,7 +326,7 @@
       return false;
     }
     if (what == "spot") {
-      EXPECT_GE(world.spot_rented(), std::stoi(word(line, 2)));
+      EXPECT_GE(world.spot_provisioned(), std::stoi(word(line, 2)));
       return false;
     }
     if (what == "keys") {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -58,8 +58,8 @@
   bool cancel_was_asked(protocol::JobId id) const { return cancel_asked_.contains(id); }
   // A job that can never run, or lacks a field, and what its user was announced of it.
   void told_of_bad(double now, protocol::JobId id, int status, int expected);
-  // Room for each type, zone and kind that is free now: after the last trouble no job is left waiting beside
-  // it.
+  // Resources for each type, zone and kind that is free now: after the last trouble no job is left waiting
+  // beside it.
   struct FreeRoom {
     std::string type, zone;
     bool spot = false;
@@ -216,7 +216,7 @@
   std::map<protocol::JobId, std::string> last_state;  // by the users' polls
   std::map<protocol::JobId, double> first_run, finished_at;
   int machines_up() const;
-  int spot_rented() const;  // spot machines that were ever there
+  int spot_provisioned() const;  // spot machines that were ever there
   coordination::Controller* controller(int node) { return nodes_[node].core.get(); }
 
  private:
@@ -241,7 +241,7 @@
   struct Worker {
     std::string name, type, zone, addr;
     bool spot = false, up = false, dead = false, gone = false;
-    double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, rented_at = 0, deaf_until = -1,
+    double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, provisioned_at = 0, deaf_until = -1,
            mute_until = -1;
     bool hold_heartbeat = false;
     std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
@@ -328,7 +328,7 @@
   // cloud
   std::map<std::string, Worker> workers_;
   int next_machine_ = 0;
-  std::map<std::string, std::string> rentals_;
+  std::map<std::string, std::string> provisioning_requests_;
   std::map<protocol::JobId, protocol::JobSpec> described_;
   std::map<protocol::JobId, double> progress_;  // saved, of gangs
   std::map<protocol::JobId, std::set<std::uint32_t>> results_;
--- a/tests/world_cloud.cpp
+++ b/tests/world_cloud.cpp
@@ -20,7 +20,7 @@
     worker.zone = zone;
     worker.spot = spot;
     worker.addr = "10.1.0." + std::to_string(next_machine_) + ":9000";
-    worker.rented_at = now_;
+    worker.provisioned_at = now_;
     double boot = 0.5;
     for (const auto& known : options_.types)
       if (known.name == type && now_ > 0) boot = known.boot_s;
@@ -36,7 +36,7 @@
                                               const std::string& body) {
   if (target == n::kPathCatalog) return {200, protocol::catalog_json(options_.types)};
   if (target == n::kPathReturn) {
-    const auto names = protocol::parse_rented(body);
+    const auto names = protocol::parse_provisioned(body);
     for (const auto& name : *names) {
       const auto found = workers_.find(name);
       // With this sabotage nothing ends cancelled work, neither the return of its machine nor its lease.
@@ -50,7 +50,8 @@
     const auto request = json::parse(body).as_object();
     const std::string key(request.at(n::kRequest).as_string()), type(request.at(n::kType).as_string()),
         zone(request.at(n::kZone).as_string());
-    if (const auto was = rentals_.find(key); was != rentals_.end()) return {200, was->second};
+    if (const auto was = provisioning_requests_.find(key); was != provisioning_requests_.end())
+      return {200, was->second};
     const bool spot = request.at(n::kSpot).as_bool();
     int used = 0;
     for (const auto& [name, worker] : workers_)
@@ -68,11 +69,11 @@
     }
     json::object answer;
     answer[n::kMachines] = hosts;
-    return {200, rentals_[key] = json::serialize(answer)};
+    return {200, provisioning_requests_[key] = json::serialize(answer)};
   }
   json::array list;
   for (const auto& [name, worker] : workers_) {
-    if (worker.gone || now_ - worker.rented_at < options_.list_lag_s) continue;
+    if (worker.gone || now_ - worker.provisioned_at < options_.list_lag_s) continue;
     json::object entry;
     entry[n::kMachineName] = name;
     entry[n::kAddr] = worker.addr;
@@ -80,7 +81,7 @@
     entry[n::kZone] = worker.zone;
     entry[n::kSpot] = worker.spot;
     entry[n::kState] = now_ < worker.boots_at ? n::kBooting : "running";
-    entry[n::kAgeS] = now_ - worker.rented_at;
+    entry[n::kAgeS] = now_ - worker.provisioned_at;
     list.emplace_back(entry);
   }
   json::object answer;
@@ -104,7 +105,7 @@
   return {};
 }
 
-int World::spot_rented() const {
+int World::spot_provisioned() const {
   return static_cast<int>(
       std::count_if(workers_.begin(), workers_.end(), [](const auto& entry) { return entry.second.spot; }));
 }
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -265,7 +265,7 @@
       if (task.exit_reason == ExitReason::kNone &&
           used + described_.at(command.task.job).cpus > have + 1e-6) {
         task.phase = TaskPhase::kExited;
-        task.exit_reason = ExitReason::kNoRoom;
+        task.exit_reason = ExitReason::kInsufficientResources;
       }
       worker.tasks[command.task] = task;
       if (task.exit_reason == ExitReason::kNone) {
