--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -72,7 +72,7 @@
   next_key_ = (context_.random() >> c::kKeyBits) + 1;
 }
 
-void Controller::step(const protocol::Moment& now) {
+void Controller::step(const protocol::ClockReading& now) {
   context_.now = now;
   context_.state.tick(now.steady);
 }
@@ -85,7 +85,7 @@
   return out;
 }
 
-void Controller::on_tick(const protocol::Moment& now) {
+void Controller::on_tick(const protocol::ClockReading& now) {
   step(now);
   if (!ending_) election_.tick();
   versions_.tick();
@@ -119,7 +119,7 @@
   for (const auto& [member, peer] : peers_) flush(member);
 }
 
-void Controller::on_request(const protocol::Moment& now, const protocol::HttpRequest& request) {
+void Controller::on_request(const protocol::ClockReading& now, const protocol::HttpRequest& request) {
   step(now);
   const std::string path = without_query(request.target);
   const auto reply = [&](int status, int retry, std::string body, bool text = false) {
@@ -186,7 +186,7 @@
   finish_step();
 }
 
-void Controller::on_result(const protocol::Moment& now, std::uint64_t call,
+void Controller::on_result(const protocol::ClockReading& now, std::uint64_t call,
                            const protocol::CallResult& result) {
   step(now);
   context_.calls.on_result(call, result);
@@ -194,7 +194,7 @@
   finish_step();
 }
 
-void Controller::on_link(const protocol::Moment& now, const std::string& member, bool up) {
+void Controller::on_link(const protocol::ClockReading& now, const std::string& member, bool up) {
   step(now);
   auto& peer = peers_[member];
   peer.up = up;
@@ -213,7 +213,7 @@
   finish_step();
 }
 
-bool Controller::on_frame(const protocol::Moment& now, const std::string& frame) {
+bool Controller::on_frame(const protocol::ClockReading& now, const std::string& frame) {
   const auto messages = protocol::decode_frame(frame);
   if (!messages) return false;
   step(now);
@@ -223,7 +223,7 @@
   return good;
 }
 
-void Controller::on_terminate(const protocol::Moment& now) {
+void Controller::on_terminate(const protocol::ClockReading& now) {
   step(now);
   ending_ = true;
   election_.resign();
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -21,13 +21,13 @@
              std::uint64_t seed, const quota::LeaseOptions& lease_options = {});
 
   // Events. Each sets the clock, and leaves its actions in the outbox.
-  void on_tick(const protocol::Moment& now);
-  void on_request(const protocol::Moment& now, const protocol::HttpRequest& request);
-  void on_result(const protocol::Moment& now, std::uint64_t call, const protocol::CallResult& result);
-  void on_link(const protocol::Moment& now, const std::string& member, bool up);
+  void on_tick(const protocol::ClockReading& now);
+  void on_request(const protocol::ClockReading& now, const protocol::HttpRequest& request);
+  void on_result(const protocol::ClockReading& now, std::uint64_t call, const protocol::CallResult& result);
+  void on_link(const protocol::ClockReading& now, const std::string& member, bool up);
   // False: the frame makes no sense.
-  bool on_frame(const protocol::Moment& now, const std::string& frame);
-  void on_terminate(const protocol::Moment& now);
+  bool on_frame(const protocol::ClockReading& now, const std::string& frame);
+  void on_terminate(const protocol::ClockReading& now);
 
   protocol::Outbox take_outbox();
   const Election& election() const { return election_; }
@@ -59,7 +59,7 @@
     std::uint64_t token = 0;
   };
   bool take(const protocol::PeerMessage& message);  // false: it makes no sense
-  void step(const protocol::Moment& now);
+  void step(const protocol::ClockReading& now);
   void finish_step();
   void route(std::uint64_t key);
   void serve(std::uint64_t key);
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -40,7 +40,7 @@
   const protocol::Policy policy;
   const std::uint64_t incarnation;
   std::mt19937_64 random;
-  protocol::Moment now;
+  protocol::ClockReading now;
   protocol::Outbox out;
   bookkeeping::CallTable calls;
   bookkeeping::StateClient state;
--- a/src/coordination/fleet_demand.cpp
+++ b/src/coordination/fleet_demand.cpp
@@ -139,8 +139,7 @@
   if (typical == nullptr) return;
   int ready = 0;
   for (const auto& machine : fleet)
-    if (kind_allowed(*typical, machine.type, machine.zone, machine.spot) &&
-        machine.resources.fits(*typical))
+    if (kind_allowed(*typical, machine.type, machine.zone, machine.spot) && machine.resources.fits(*typical))
       ready += machine.count;
   // Only as many as are nearly sure to be used: with few arrivals their number scatters too much.
   const double mean = spare_wanted();
--- a/src/coordination/job_requests.cpp
+++ b/src/coordination/job_requests.cpp
@@ -81,20 +81,20 @@
   const auto parsed = protocol::parse_job(body);
   if (!parsed.id) return reply(refuse(400, parsed.error));
   const JobId id = *parsed.id;
-  // A known job is answered before its description is judged again.
+  // A known job is answered before its description is checked again.
   if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
   if (leading() && context_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
-  const auto judged = [this, id, reply](int status, const std::string& reason) {
+  const auto checked = [this, id, reply](int status, const std::string& reason) {
     if (status == 503) return reply(busy(reason.c_str()));
     lookup_.state(id, [this, id, reply, status, reason](const JobLookup::Known& known) {
       answer_known(id, known, refuse(status, reason), reply);
     });
   };
-  if (!parsed.spec) return judged(400, parsed.error);
-  validate(*parsed.spec, [this, spec = *parsed.spec, judged, reply](int status, const std::string& reason) {
-    if (status != 0) return judged(status, reason);
-    judge_dependencies(spec, [this, spec, judged, reply](const DependencyVerdict& verdict) {
-      if (verdict.status != 0) return judged(verdict.status, verdict.reason);
+  if (!parsed.spec) return checked(400, parsed.error);
+  validate(*parsed.spec, [this, spec = *parsed.spec, checked, reply](int status, const std::string& reason) {
+    if (status != 0) return checked(status, reason);
+    check_dependencies(spec, [this, spec, checked, reply](const DependencyVerdict& verdict) {
+      if (verdict.status != 0) return checked(verdict.status, verdict.reason);
       if (verdict.cancelled) return admit_cancelled(spec.id, reply);
       JobSpec admitted = spec;
       admitted.dependencies = verdict.unfinished;
@@ -105,7 +105,7 @@
 
 // The records of all that the job needs, read side by side. Only proof that one was never accepted refuses
 // the job for good.
-void JobRequests::judge_dependencies(const JobSpec& spec,
+void JobRequests::check_dependencies(const JobSpec& spec,
                                      const std::function<void(const DependencyVerdict&)>& done) {
   if (spec.dependencies.empty()) return done({});
   if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) != spec.dependencies.end())
@@ -173,7 +173,7 @@
 
 // Status 0: acceptable. Only what can never run is refused for good.
 void JobRequests::validate(const JobSpec& spec, const std::function<void(int, std::string)>& done) {
-  const auto judge = [this, spec, done] {
+  const auto decide = [this, spec, done] {
     const auto* team = context_.settings.team(spec.team);
     if (team == nullptr) return done(422, "unknown team");
     const double tasks = spec.gang ? spec.tasks : 1;
@@ -186,13 +186,13 @@
     }
     done(422, "a task fits no allowed machine type");
   };
-  if (!context_.types.empty()) return judge();
-  context_.state.read("cat", [this, judge, done](const StateRead& read) {
+  if (!context_.types.empty()) return decide();
+  context_.state.read("cat", [this, decide, done](const StateRead& read) {
     if (read.found == StateRead::Found::kYes)
       if (const auto types = protocol::parse_catalog(boost::json::serialize(read.value)))
         for (const auto& type : *types) context_.types[type.name] = type;
     if (context_.types.empty()) return done(503, "the machine types are not known yet");
-    judge();
+    decide();
   });
 }
 
--- a/src/coordination/job_requests.hpp
+++ b/src/coordination/job_requests.hpp
@@ -42,7 +42,7 @@
     bool cancelled = false;                   // one of them is cancelled
     std::vector<protocol::JobId> unfinished;  // those that are not done
   };
-  void judge_dependencies(const protocol::JobSpec& spec,
+  void check_dependencies(const protocol::JobSpec& spec,
                           const std::function<void(const DependencyVerdict&)>& done);
   static void add_dependency(DependencyVerdict& verdict, protocol::JobId id, const JobLookup::Known& known);
   void admit_cancelled(protocol::JobId id, const Reply& reply);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -29,7 +29,7 @@
 namespace c = constants;
 namespace asio = boost::asio;
 
-protocol::Moment now() {
+protocol::ClockReading now() {
   using namespace std::chrono;
   return {duration<double>(steady_clock::now().time_since_epoch()).count(),
           duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count()};
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -8,7 +8,7 @@
 namespace robinford::protocol {
 
 // The only clock the context knows; main (or a test) passes it in.
-struct Moment {
+struct ClockReading {
   double steady = 0;         // s, never steps
   std::int64_t wall_ms = 0;  // ms since 1970, right within the settings' clock error
 };
--- a/tests/judge.cpp
+++ b/tests/invariant_checker.cpp
@@ -1,4 +1,4 @@
-// The judge of the protocol's rules.
+// The checker of the protocol's rules.
 #include <algorithm>
 #include <cmath>
 #include <optional>
@@ -6,20 +6,20 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 using protocol::JobId;
 using protocol::JobSpec;
 using protocol::TaskId;
 
-void Judge::breach(const char* rule, double now, const std::string& what) {
+void InvariantChecker::breach(const char* rule, double now, const std::string& what) {
   broken_.emplace(rule, "at " + std::to_string(now) + ": " + what);
 }
 
-void Judge::on_machine(double now, const TaskId& task, const Placed& where) {
+void InvariantChecker::on_machine(double now, const TaskId& task, const Placed& where) {
   ++starts;
   auto& places = placed_[task];
   if (!places.empty())
@@ -47,25 +47,25 @@
     breach("ran_cancelled", now, protocol::task_text(task));
 }
 
-std::map<JobId, std::uint32_t> Judge::tasks_on_machines() const {
+std::map<JobId, std::uint32_t> InvariantChecker::tasks_on_machines() const {
   std::map<JobId, std::uint32_t> tasks;
   for (const auto& [task, places] : placed_) tasks[task.job] += static_cast<std::uint32_t>(places.size());
   return tasks;
 }
 
-void Judge::off_machine(const TaskId& task, const std::string& machine) {
+void InvariantChecker::off_machine(const TaskId& task, const std::string& machine) {
   auto found = placed_.find(task);
   if (found == placed_.end()) return;
   std::erase_if(found->second, [&](const Placed& place) { return place.machine == machine; });
   if (found->second.empty()) placed_.erase(found);
 }
 
-void Judge::task_done(double now, const TaskId& task) {
+void InvariantChecker::task_done(double now, const TaskId& task) {
   done_[task.job].insert(task.index);
   if (done(task.job)) done_at_.emplace(task.job, now);
 }
 
-bool Judge::any_dependency(JobId id, const std::function<bool(JobId)>& visit) const {
+bool InvariantChecker::any_dependency(JobId id, const std::function<bool(JobId)>& visit) const {
   std::vector<JobId> open{id};
   std::set<JobId> seen;
   while (!open.empty()) {
@@ -81,12 +81,12 @@
   return false;
 }
 
-bool Judge::cancel_was_implied(JobId id) const {
-  const auto asked = [this](JobId other) { return cancel_asked_.contains(other); };
-  return asked(id) || any_dependency(id, asked);
+bool InvariantChecker::cancel_was_implied(JobId id) const {
+  const auto requested = [this](JobId other) { return cancel_requested_.contains(other); };
+  return requested(id) || any_dependency(id, requested);
 }
 
-std::optional<double> Judge::eligible_at(JobId id) const {
+std::optional<double> InvariantChecker::eligible_at(JobId id) const {
   double at = submitted_at_.at(id);
   for (const auto dependency : specs_.at(id).dependencies) {
     const auto over = done_at_.find(dependency);
@@ -96,37 +96,37 @@
   return at;
 }
 
-bool Judge::may_be_submitted(const JobSpec& spec) const {
+bool InvariantChecker::may_be_submitted(const JobSpec& spec) const {
   return std::all_of(spec.dependencies.begin(), spec.dependencies.end(),
                      [this](JobId id) { return accepted_.contains(id); });
 }
 
-void Judge::launched(double now, const TaskId& task) {
+void InvariantChecker::launched(double now, const TaskId& task) {
   for (const auto dependency : specs_.at(task.job).dependencies)
     if (!done(dependency))
       breach("too_early", now,
              protocol::task_text(task) + " before " + protocol::job_id_text(dependency) + " was done");
 }
 
-bool Judge::done(JobId id) const {
+bool InvariantChecker::done(JobId id) const {
   const auto found = done_.find(id);
   return found != done_.end() && found->second.size() == specs_.at(id).tasks;
 }
 
-void Judge::began(double now, const TaskId& task) { began_at_.emplace(task.job, now); }
+void InvariantChecker::began(double now, const TaskId& task) { began_at_.emplace(task.job, now); }
 
-void Judge::answered(double now, JobId id) { answered_at_[id] = now; }
+void InvariantChecker::answered(double now, JobId id) { answered_at_[id] = now; }
 
-void Judge::watch_answers(double now) {
-  if (now < troubles_end_ + kForgottenAfter) return;
+void InvariantChecker::watch_answers(double now) {
+  if (now < faults_end_ + kForgottenAfter) return;
   for (const auto id : accepted_) {
     const auto last = answered_at_.find(id);
-    if (now - std::max(last == answered_at_.end() ? 0 : last->second, troubles_end_) > kForgottenAfter)
+    if (now - std::max(last == answered_at_.end() ? 0 : last->second, faults_end_) > kForgottenAfter)
       breach("forgotten", now, protocol::job_id_text(id) + ": no question about it is answered");
   }
 }
 
-void Judge::close(double now) {
+void InvariantChecker::close(double now) {
   watch_answers(now);
   struct Count {
     int served = 0, all = 0;
@@ -158,20 +158,20 @@
              group + ": " + std::to_string(count.served) + " of " + std::to_string(count.all));
 }
 
-void Judge::told_of_bad(double now, JobId id, int status, int expected) {
+void InvariantChecker::answered_bad(double now, JobId id, int status, int expected) {
   if (status == 503 || status == 0 || status == expected) return;
   breach("accepted_bad", now,
          protocol::job_id_text(id) + " got " + std::to_string(status) + ", not " + std::to_string(expected));
 }
 
-std::vector<JobId> Judge::running() const {
+std::vector<JobId> InvariantChecker::running() const {
   std::set<JobId> ids;
   for (const auto& [task, places] : placed_)
-    if (accepted_.contains(task.job) && !cancel_asked_.contains(task.job)) ids.insert(task.job);
+    if (accepted_.contains(task.job) && !cancel_requested_.contains(task.job)) ids.insert(task.job);
   return {ids.begin(), ids.end()};
 }
 
-void Judge::watch_waiting(double now, const std::vector<FreeRoom>& rooms) {
+void InvariantChecker::watch_waiting(double now, const std::vector<FreeCapacity>& free_machines) {
   std::map<std::string, double> used;
   std::map<JobId, std::size_t> held;
   for (const auto& [task, places] : placed_) {
@@ -183,34 +183,34 @@
     const auto& spec = specs_.at(id);
     const std::size_t has = held[id];
     std::size_t fits = 0;
-    for (const auto& room : rooms) {
-      if ((spec.zone && *spec.zone != room.zone) || (room.spot && !spec.spot)) continue;
-      if (spec.types && std::find(spec.types->begin(), spec.types->end(), room.type) == spec.types->end())
+    for (const auto& free : free_machines) {
+      if ((spec.zone && *spec.zone != free.zone) || (free.spot && !spec.spot)) continue;
+      if (spec.types && std::find(spec.types->begin(), spec.types->end(), free.type) == spec.types->end())
         continue;
       if (spec.spread || (spec.gang && spec.one_zone))
         continue;  // what fits those is not for this look to say
       fits += static_cast<std::size_t>(
-          std::floor(std::min(room.cpus / spec.cpus, room.memory_gb / spec.memory_gb) + 1e-9));
+          std::floor(std::min(free.cpus / spec.cpus, free.memory_gb / spec.memory_gb) + 1e-9));
     }
     const std::size_t wants = spec.gang ? spec.tasks : 1;
     const bool could = !cancel_was_implied(id) && eligible_at(id) && has < spec.tasks && fits >= wants &&
                        used[spec.team] + spec.cpus * static_cast<double>(wants) <= limits_[spec.team] + 1e-6;
     auto& since = waits_since_.try_emplace(id, now).first->second;
-    if (!could || has != std::exchange(held_[id], has) || now < troubles_end_) since = now;
+    if (!could || has != std::exchange(held_[id], has) || now < faults_end_) since = now;
     if (now - since > kLeftWaiting)
       breach("left_waiting", now, protocol::job_id_text(id) + " waits beside room that fits");
   }
 }
 
-void Judge::look(double now) {
+void InvariantChecker::look(double now) {
   for (const auto& [task, places] : placed_)
     if (const auto at = cancelled_at_.find(task.job);
         at != cancelled_at_.end() && now > at->second + cancel_s_)
       breach("ran_cancelled", now, protocol::task_text(task) + " on " + places[0].machine);
 }
 
-void Judge::announced(double now, double asked_at, JobId id, int status, const std::string& state,
-                      bool accepted) {
+void InvariantChecker::announced(double now, double asked_at, JobId id, int status, const std::string& state,
+                                 bool accepted) {
   const std::string name = protocol::job_id_text(id);
   if (status == 404 && accepted_.contains(id)) breach("forgotten", now, name);
   if ((status == 400 || status == 422) && accepted_.contains(id)) breach("forgotten", now, name + " refused");
@@ -234,4 +234,4 @@
   if (state == n::kStateCancelled) cancelled_at_.emplace(id, now);
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/loopback/history.cpp
+++ b/tests/loopback/history.cpp
@@ -20,11 +20,12 @@
   Findings run() {
     for (const auto& event : history_.events) take(event);
     for (const auto job : accepted_)
-      if (!told_done_.contains(job)) wrong("job " + std::to_string(job) + " was accepted and has not ended");
+      if (!answered_done_.contains(job))
+        wrong("job " + std::to_string(job) + " was accepted and has not ended");
     for (const auto& [task, workers] : placed_)
       if (!workers.empty()) wrong("job " + std::to_string(task.first) + " is left on a worker");
     findings_.accepted = accepted_.size();
-    findings_.done = told_done_.size();
+    findings_.done = answered_done_.size();
     return findings_;
   }
 
@@ -48,12 +49,12 @@
       case EventKind::kTaskDone:
         if (!done_[event.job].insert(event.task).second) wrong(text(event) + ": completed twice");
         break;
-      case EventKind::kToldDone:
-        told_done_.insert(event.job);
+      case EventKind::kAnsweredDone:
+        answered_done_.insert(event.job);
         if (done_[event.job].size() != facts->second.tasks) wrong(text(event) + ": called done too early");
         break;
-      case EventKind::kToldOther:
-        if (told_done_.contains(event.job)) wrong(text(event) + ": called something else after done");
+      case EventKind::kAnsweredOther:
+        if (answered_done_.contains(event.job)) wrong(text(event) + ": called something else after done");
         break;
     }
   }
@@ -73,7 +74,7 @@
 
   const History& history_;
   Findings findings_;
-  std::set<std::uint64_t> accepted_, told_done_;
+  std::set<std::uint64_t> accepted_, answered_done_;
   std::map<Task, std::set<std::string>> placed_;
   std::map<std::uint64_t, std::set<std::uint32_t>> done_;
   std::map<std::string, double> use_;
--- a/tests/loopback/quota_loopback_test.cpp
+++ b/tests/loopback/quota_loopback_test.cpp
@@ -18,12 +18,13 @@
   history.jobs[1] = {"red", 2, 1};
   history.jobs[2] = {"red", 1, 1};
   history.limits["red"] = 2;
-  history.events = {
-      {EventKind::kAccepted, 1, 0, ""},  {EventKind::kTaskOn, 1, 0, "a"},  {EventKind::kTaskOn, 1, 1, "b"},
-      {EventKind::kToldOther, 1, 0, ""}, {EventKind::kTaskDone, 1, 0, ""}, {EventKind::kTaskOff, 1, 0, "a"},
-      {EventKind::kTaskDone, 1, 1, ""},  {EventKind::kTaskOff, 1, 1, "b"}, {EventKind::kToldDone, 1, 0, ""},
-      {EventKind::kAccepted, 2, 0, ""},  {EventKind::kTaskOn, 2, 0, "a"},  {EventKind::kTaskDone, 2, 0, ""},
-      {EventKind::kTaskOff, 2, 0, "a"},  {EventKind::kToldDone, 2, 0, ""}};
+  history.events = {{EventKind::kAccepted, 1, 0, ""},     {EventKind::kTaskOn, 1, 0, "a"},
+                    {EventKind::kTaskOn, 1, 1, "b"},      {EventKind::kAnsweredOther, 1, 0, ""},
+                    {EventKind::kTaskDone, 1, 0, ""},     {EventKind::kTaskOff, 1, 0, "a"},
+                    {EventKind::kTaskDone, 1, 1, ""},     {EventKind::kTaskOff, 1, 1, "b"},
+                    {EventKind::kAnsweredDone, 1, 0, ""}, {EventKind::kAccepted, 2, 0, ""},
+                    {EventKind::kTaskOn, 2, 0, "a"},      {EventKind::kTaskDone, 2, 0, ""},
+                    {EventKind::kTaskOff, 2, 0, "a"},     {EventKind::kAnsweredDone, 2, 0, ""}};
   return history;
 }
 
@@ -51,7 +52,7 @@
   history.events.push_back({EventKind::kTaskDone, 2, 0, ""});
   EXPECT_TRUE(finds(history, "completed twice"));
   history = good_history();
-  history.events.push_back({EventKind::kToldOther, 1, 0, ""});
+  history.events.push_back({EventKind::kAnsweredOther, 1, 0, ""});
   EXPECT_TRUE(finds(history, "after done"));
   history = good_history();
   history.events.erase(history.events.begin() + 6);
@@ -69,10 +70,10 @@
 
 // ---------------------------------------------------------------- three controllers
 
-// Jobs of one wave; CI has few, and a longer run is asked for by the variable.
+// Jobs of one wave; CI has few, and a longer run is requested for by the variable.
 int jobs_a_wave() {
-  const char* asked = std::getenv("ROBINFORD_LOOPBACK_WAVE");
-  return asked == nullptr ? 360 : std::atoi(asked);
+  const char* requested = std::getenv("ROBINFORD_LOOPBACK_WAVE");
+  return requested == nullptr ? 360 : std::atoi(requested);
 }
 
 class Waves {
--- a/tests/loopback/site.cpp
+++ b/tests/loopback/site.cpp
@@ -14,7 +14,7 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster_common.hpp"
 
 extern char** environ;
 
@@ -204,7 +204,7 @@
       [this](std::uint64_t token, const std::string& method, const std::string& target,
              const std::string& body) {
         if (target.starts_with(n::kPathWatch)) {
-          const double wait = std::stod(testing_world::query(target, n::kQueryWaitMs)) / 1000;
+          const double wait = std::stod(simulation::query(target, n::kQueryWaitMs)) / 1000;
           watches_.push_back({token, target, now() + wait});
           return answer_watches();
         }
@@ -450,7 +450,7 @@
         after(0.1, [this] { --polling_; });
         if (status != 200) return;
         const bool done = body.find("\"stage\":\"done\"") != std::string::npos;
-        record(done ? EventKind::kToldDone : EventKind::kToldOther, job);
+        record(done ? EventKind::kAnsweredDone : EventKind::kAnsweredOther, job);
         if (done) std::erase(unfinished_, job);
       });
 }
--- a/tests/loopback/site.hpp
+++ b/tests/loopback/site.hpp
@@ -52,7 +52,7 @@
   std::vector<std::string> metrics();
 
   const History& history() const { return history_; }
-  const testing_world::StateStore& store() const { return store_; }
+  const simulation::StateStore& store() const { return store_; }
 
  private:
   struct Task {
@@ -108,7 +108,7 @@
   boost::asio::steady_timer ticker_{io_};
   std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
   std::string folder_;
-  testing_world::StateStore store_;
+  simulation::StateStore store_;
   std::unique_ptr<transport::HttpServer> state_, cloud_;
   std::list<Watch> watches_;
   std::vector<Controller> controllers_;
--- a/tests/machine_records_test.cpp
+++ b/tests/machine_records_test.cpp
@@ -87,7 +87,7 @@
 }
 
 // The production version wrote them, up to 64 a record.
-TEST(MachineRecords, EachMachineIsNamedAtEveryMomentOfTheMove) {
+TEST(MachineRecords, EachMachineIsNamedThroughoutTheMove) {
   MachineLedger old;
   add_machines(old, 0, 300);
   Records records;
--- a/tests/measure/lease_measurement.cpp
+++ b/tests/measure/lease_measurement.cpp
@@ -10,14 +10,14 @@
 #include <sstream>
 #include <vector>
 
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace {
 
 constexpr int kTeams = 6;
 constexpr double kGuarantee = 32, kLimit = 64;  // cpus of each team
-constexpr int kMachines = 32;                   // of 16 cpus: room for all limits at once
+constexpr int kMachines = 32;                   // of 16 cpus: free for all limits at once
 constexpr double kQuietS = 40, kBurstS = 30, kEndS = 130;
 constexpr double kQuietRate = 4;  // jobs a second over all teams
 constexpr double kBurstRate = 6;  // jobs a second more, of one team
@@ -39,10 +39,10 @@
 };
 
 // Cumulative counts of the histogram of grant waits, over all pages.
-std::map<double, double> grant_waits(World& world, int controllers) {
+std::map<double, double> grant_waits(SimulatedCluster& cluster, int controllers) {
   std::map<double, double> counts;
   for (int i = 0; i < controllers; ++i) {
-    auto* controller = world.controller(i);
+    auto* controller = cluster.controller(i);
     if (controller == nullptr) continue;
     std::istringstream page(controller->context().metrics.page());
     double before = 0;
@@ -83,8 +83,8 @@
   type.cache_gb = 50;
   type.fetch_gb_per_s = 1;
   options.types.push_back(type);
-  World world(options);
-  world.machines(kMachines, "big", "a", false);
+  SimulatedCluster cluster(options);
+  cluster.machines(kMachines, "big", "a", false);
   std::mt19937_64 random(seed);
   std::exponential_distribution<double> gap(1);
   protocol::JobId next = 0;
@@ -101,8 +101,8 @@
     spec.memory_gb = 1;
     spec.estimate_s = 2 + 0.1 * static_cast<double>(random() % 20);
     spec.deadline_s = kDueS;
-    submitted[spec.id] = world.now();
-    world.submit(spec);
+    submitted[spec.id] = cluster.now();
+    cluster.submit(spec);
   };
   Result result;
   std::deque<std::pair<std::uint64_t, std::uint64_t>>
@@ -114,13 +114,13 @@
     // Two bursts, of one team and then of another.
     for (; burst_at < time && burst_at < kQuietS + 2 * kBurstS; burst_at += gap(random) / kBurstRate)
       submit(burst_at < kQuietS + kBurstS ? 0 : 1);
-    world.run_until(time);
-    const int leader = world.leader();
+    cluster.run_until(time);
+    const int leader = cluster.leader();
     if (leader < 0) continue;
     ++samples;
-    const auto& lessor = world.controller(leader)->quota_leases().lessor();
+    const auto& lessor = cluster.controller(leader)->quota_leases().lessor();
     idle_sum += static_cast<double>(lessor.idle_while_claimed().cpus) / 1000 / (kTeams * kLimit);
-    window.emplace_back(world.jobs_granted(), next);
+    window.emplace_back(cluster.jobs_granted(), next);
     if (window.size() > kWindowSamples) window.pop_front();
     const auto granted = static_cast<double>(window.back().first - window.front().first);
     const auto came = static_cast<double>(window.back().second - window.front().second);
@@ -128,19 +128,19 @@
     if (on && result.moved_s < 0 && time > kQuietS + kBurstS + 1 && granted >= 0.5 * followers * came)
       result.moved_s = time - kQuietS - kBurstS;
   }
-  world.run_until(kEndS + 30);
-  const auto counts = grant_waits(world, controllers);
+  cluster.run_until(kEndS + 30);
+  const auto counts = grant_waits(cluster, controllers);
   for (const auto& [edge, count] : counts) result.jobs += count;
-  result.at_once = static_cast<double>(world.jobs_granted()) / std::max(1.0, result.jobs);
+  result.at_once = static_cast<double>(cluster.jobs_granted()) / std::max(1.0, result.jobs);
   result.p50 = quantile(counts, 0.5);
   result.p95 = quantile(counts, 0.95);
-  result.lease_writes = static_cast<double>(world.store().changes("q/"));
-  result.all_writes = static_cast<double>(world.store().changes(""));
+  result.lease_writes = static_cast<double>(cluster.store().changes("q/"));
+  result.all_writes = static_cast<double>(cluster.store().changes(""));
   result.idle = idle_sum / std::max(1, samples);
   for (const auto& [id, at] : submitted)
-    if (world.first_run.contains(id))
-      result.first_start += (world.first_run.at(id) - at) / static_cast<double>(next);
-  for (const auto& [rule, what] : world.judge.broken())
+    if (cluster.first_run.contains(id))
+      result.first_start += (cluster.first_run.at(id) - at) / static_cast<double>(next);
+  for (const auto& [rule, what] : cluster.checker.broken())
     std::printf("rule broken: %s %s\n", rule.c_str(), what.c_str());
   return result;
 }
@@ -159,7 +159,7 @@
 }
 
 }  // namespace
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
 
 int main(int argc, char** argv) {
   const char* level = std::getenv("LOG_LEVEL");
@@ -169,6 +169,6 @@
   if (sizes.empty()) sizes = {3, 5, 9};
   for (const int size : sizes)
     for (const std::uint64_t seed : {1, 2, 3})
-      for (const bool on : {false, true}) robinford::testing_world::print(size, seed, on);
+      for (const bool on : {false, true}) robinford::simulation::print(size, seed, on);
   return 0;
 }
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -158,7 +158,7 @@
   EXPECT_EQ(heartbeat->tasks[0].exit_reason, ExitReason::kError);
 }
 
-TEST(Orders, RoundTrip) {
+TEST(Commands, RoundTrip) {
   const std::vector<Command> commands{{Command::Op::kLaunch, {412, 4}, 2, 0},
                                       {Command::Op::kStop, {377, 1}, 1, 10},
                                       {Command::Op::kClear, {398, 0}, 1, 0}};
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -8,9 +8,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace {
 
 using Words = std::map<std::string, std::string>;
@@ -109,28 +109,28 @@
 
  private:
   void run_once() {
-    World world(options_);
+    SimulatedCluster cluster(options_);
     for (const auto& step : steps_) {
-      world.run_until(step.at);
-      act(world, step);
+      cluster.run_until(step.at);
+      act(cluster, step);
     }
-    world.run_until(until_);
-    world.judge.close(until_);
-    write_digest(world);
+    cluster.run_until(until_);
+    cluster.checker.close(until_);
+    write_digest(cluster);
     bool breach_expected = false;
-    for (const auto& line : expects_) breach_expected = check(world, line) || breach_expected;
+    for (const auto& line : expects_) breach_expected = check(cluster, line) || breach_expected;
     if (breach_expected) return;
-    for (const auto& [rule, what] : world.judge.broken())
+    for (const auto& [rule, what] : cluster.checker.broken())
       ADD_FAILURE() << "rule broken: " << rule << " " << what;
   }
 
   // Outside CI, for comparing two versions of the sources: a line a scenario and seed, appended to the file
   // that ROBINFORD_SCENARIO_DIGESTS names.
-  void write_digest(const World& world) const {
+  void write_digest(const SimulatedCluster& cluster) const {
     const char* path = std::getenv("ROBINFORD_SCENARIO_DIGESTS");
     if (path == nullptr) return;
     std::ofstream(path, std::ios::app)
-        << name_ << ' ' << options_.seed << ' ' << world.outbox_digest().text() << '\n';
+        << name_ << ' ' << options_.seed << ' ' << cluster.outbox_digest().text() << '\n';
   }
 
   void setup(const Line& line) {
@@ -180,27 +180,27 @@
   }
 
   // A machine by name, or "of" and a task, or a number in order of creation.
-  std::string machine(const World& world, const std::string& text) const {
-    if (const auto task = protocol::parse_task(text)) return world.machine_of(*task);
-    return text.starts_with("host-") ? text : world.nth_machine(std::stoi(text));
+  std::string machine(const SimulatedCluster& cluster, const std::string& text) const {
+    if (const auto task = protocol::parse_task(text)) return cluster.machine_of(*task);
+    return text.starts_with("host-") ? text : cluster.nth_machine(std::stoi(text));
   }
 
-  int node(const World& world, const std::string& text) const {
-    return text == "leader" ? world.leader() : std::stoi(text);
+  int node(const SimulatedCluster& cluster, const std::string& text) const {
+    return text == "leader" ? cluster.leader() : std::stoi(text);
   }
 
-  void act(World& world, const Line& line) const {
+  void act(SimulatedCluster& cluster, const Line& line) const {
     const std::string what = line.plain[0];
     const double for_s = number(line, "for", 5);
     if (what != "machines" && what != "submit" && what != "flood" && what != "cancel" && what != "sabotage" &&
         what != "leases" && what != "limit")
-      world.judge.trouble_until(world.now() +
-                                std::max({for_s, number(line, "back", 0), number(line, "hang", 0),
-                                          number(line, "by", 0) + (what == "repeats" ? for_s : 0)}));
+      cluster.checker.fault_until(cluster.now() +
+                                  std::max({for_s, number(line, "back", 0), number(line, "hang", 0),
+                                            number(line, "by", 0) + (what == "repeats" ? for_s : 0)}));
     if (what == "machines") {
-      world.machines(std::stoi(word(line, 1)), word(line, 2), word(line, 3), number(line, "spot", 0) > 0);
+      cluster.machines(std::stoi(word(line, 1)), word(line, 2), word(line, 3), number(line, "spot", 0) > 0);
     } else if (what == "submit") {
-      world.submit(job_of(line));
+      cluster.submit(job_of(line));
     } else if (what == "flood") {
       // Many small jobs, with ids that follow one another.
       Line each = line;
@@ -209,167 +209,169 @@
         char id[16];
         std::snprintf(id, sizeof id, "j-%06d", first + i);
         each.plain = {"submit", id};
-        world.submit(job_of(each));
+        cluster.submit(job_of(each));
       }
     } else if (what == "cancel") {
-      world.cancel(protocol::parse_job_id(word(line, 1)).value());
+      cluster.cancel(protocol::parse_job_id(word(line, 1)).value());
     } else if (what == "crash") {
       const double back = number(line, "back", 3);
       if (word(line, 1) == "all") {
-        for (int i = 0; i < options_.controllers; ++i) world.crash(i, back);
-      } else if (const int which = node(world, word(line, 1)); which >= 0) {
-        world.crash(which, back);
+        for (int i = 0; i < options_.controllers; ++i) cluster.crash(i, back);
+      } else if (const int which = node(cluster, word(line, 1)); which >= 0) {
+        cluster.crash(which, back);
       }
     } else if (what == "state_outage") {
-      world.state_outage(for_s);
+      cluster.state_outage(for_s);
     } else if (what == "cloud_outage") {
-      world.cloud_outage(for_s);
+      cluster.cloud_outage(for_s);
     } else if (what == "refuse_state") {
-      if (const int which = node(world, word(line, 1)); which >= 0) world.refuse_state(which, for_s);
+      if (const int which = node(cluster, word(line, 1)); which >= 0) cluster.refuse_state(which, for_s);
     } else if (what == "cut") {
       const auto place = [&](const std::string& text) {
-        return text == "leader" ? "node-" + std::to_string(std::max(0, world.leader())) : text;
+        return text == "leader" ? "node-" + std::to_string(std::max(0, cluster.leader())) : text;
       };
       const bool hold = number(line, "hold", 0) > 0;
       if (word(line, 1) == "others") {
         for (int i = 0; i < options_.controllers; ++i)
-          if (i != world.leader()) world.cut("node-" + std::to_string(i), place(word(line, 2)), for_s, hold);
+          if (i != cluster.leader())
+            cluster.cut("node-" + std::to_string(i), place(word(line, 2)), for_s, hold);
       } else {
-        world.cut(place(word(line, 1)), place(word(line, 2)), for_s, hold);
+        cluster.cut(place(word(line, 1)), place(word(line, 2)), for_s, hold);
       }
     } else if (what == "apart") {
-      if (const int which = node(world, word(line, 1)); which >= 0)
-        world.apart(which, for_s, number(line, "reset", 0) > 0);
+      if (const int which = node(cluster, word(line, 1)); which >= 0)
+        cluster.apart(which, for_s, number(line, "reset", 0) > 0);
     } else if (what == "freeze") {
-      if (const int which = node(world, word(line, 1)); which >= 0) world.freeze(which, for_s);
+      if (const int which = node(cluster, word(line, 1)); which >= 0) cluster.freeze(which, for_s);
     } else if (what == "repeats") {
-      World::Repeats repeats{number(line, "by", 5), world.now() + for_s, {}};
+      SimulatedCluster::Repeats repeats{number(line, "by", 5), cluster.now() + for_s, {}};
       for (std::size_t i = 1; i < line.plain.size(); ++i) repeats.kinds.insert(line.plain[i]);
-      world.repeat(std::move(repeats));
+      cluster.repeat(std::move(repeats));
     } else if (what == "sabotage") {
-      world.sabotage(word(line, 1));
+      cluster.inject_violation(word(line, 1));
     } else if (what == "slow_state") {
-      world.slow_state(number(line, "by", 0.5), for_s);
+      cluster.slow_state(number(line, "by", 0.5), for_s);
     } else if (what == "cancel_running") {
-      world.cancel_running(std::stoi(word(line, 1)), number(line, "hang", 0));
+      cluster.cancel_running(std::stoi(word(line, 1)), number(line, "hang", 0));
     } else if (what == "cancel_at_end") {
-      world.cancel_at_end(number(line, "share", 1), for_s);
+      cluster.cancel_at_end(number(line, "share", 1), for_s);
     } else if (what == "late_writes") {
-      world.late_writes(number(line, "share", 0.5), number(line, "by", 12), for_s);
+      cluster.late_writes(number(line, "share", 0.5), number(line, "by", 12), for_s);
     } else if (what == "slow_links") {
-      world.slow_links(number(line, "by", 0.3), for_s);
+      cluster.slow_links(number(line, "by", 0.3), for_s);
     } else if (what == "boots_fail") {
-      world.boots_fail(std::stoi(word(line, 1)));
+      cluster.boots_fail(std::stoi(word(line, 1)));
     } else if (what == "polls_storm") {
-      world.polls_storm(for_s);
+      cluster.polls_storm(for_s);
     } else if (what == "lose_watches") {
-      world.lose_watches(for_s);
+      cluster.lose_watches(for_s);
     } else if (what == "odd_requests") {
-      world.odd_requests(for_s);
+      cluster.odd_requests(for_s);
     } else if (what == "unregistered") {
-      world.unregistered(node(world, word(line, 1)), for_s);
+      cluster.unregistered(node(cluster, word(line, 1)), for_s);
     } else if (what == "state_limits") {
-      world.state_limits(number(line, "value_kb", 16), static_cast<int>(number(line, "txn_ops", 32)),
-                         number(line, "writes", 40));
+      cluster.state_limits(number(line, "value_kb", 16), static_cast<int>(number(line, "txn_ops", 32)),
+                           number(line, "writes", 40));
     } else if (what == "limit") {
-      world.set_limit(word(line, 1), std::stod(word(line, 2)));
+      cluster.set_limit(word(line, 1), std::stod(word(line, 2)));
     } else if (what == "leases") {
-      world.switch_leases(std::stoi(word(line, 1)), word(line, 2) == "on");
+      cluster.switch_leases(std::stoi(word(line, 1)), word(line, 2) == "on");
     } else if (what == "late_txn") {
-      world.late_txn(number(line, "by", 5));
+      cluster.late_txn(number(line, "by", 5));
     } else {
-      const std::string target = machine(world, word(line, 1));
+      const std::string target = machine(cluster, word(line, 1));
       if (target.empty())
         throw std::runtime_error("line " + std::to_string(line.number) + ": no such machine");
       if (what == "hang")
-        world.hang(target, for_s);
+        cluster.hang(target, for_s);
       else if (what == "die")
-        world.die(target);
+        cluster.die(target);
       else if (what == "sick")
-        world.sick(target, for_s);
+        cluster.sick(target, for_s);
       else if (what == "notice")
-        world.notice(target, for_s);
+        cluster.interruption_notice(target, for_s);
       else if (what == "late_report")
-        world.late_heartbeat(target, number(line, "by", 5));
+        cluster.late_heartbeat(target, number(line, "by", 5));
       else if (what == "lose_answers" || what == "deaf")
-        world.lose_answers(target, for_s);
+        cluster.lose_answers(target, for_s);
       else if (what == "mute")
-        world.mute(target, for_s);
+        cluster.lose_outbound(target, for_s);
       else if (what == "hold_report")
-        world.hold_heartbeat(target);
+        cluster.hold_heartbeat(target);
       else if (what == "copy_report")
-        world.copy_heartbeat(target, number(line, "by", 5));
+        cluster.copy_heartbeat(target, number(line, "by", 5));
       else if (what == "late_command")
-        world.late_command(target, number(line, "by", 5));
+        cluster.late_command(target, number(line, "by", 5));
       else if (what == "repeat_command")
-        world.repeat_command(target, number(line, "by", 5));
+        cluster.repeat_command(target, number(line, "by", 5));
       else if (what == "reborn")
-        world.reborn(target);
+        cluster.reset_agent(target);
       else
         throw std::runtime_error("line " + std::to_string(line.number) + ": unknown word " + what);
     }
   }
 
   // True when the line expects a broken rule.
-  bool check(World& world, const Line& line) const {
+  bool check(SimulatedCluster& cluster, const Line& line) const {
     const std::string what = word(line, 1);
     if (what == "broken") {
-      EXPECT_TRUE(world.judge.broken().contains(word(line, 2))) << "the judge did not see " << word(line, 2);
+      EXPECT_TRUE(cluster.checker.broken().contains(word(line, 2)))
+          << "the judge did not see " << word(line, 2);
       return true;
     }
     if (what == "starts") {
-      EXPECT_LE(world.judge.starts, std::stoi(word(line, 2)));
+      EXPECT_LE(cluster.checker.starts, std::stoi(word(line, 2)));
       return false;
     }
     if (what == "refused") {
-      EXPECT_LE(world.store().refusals(), std::stoi(word(line, 2)));
+      EXPECT_LE(cluster.store().refusals(), std::stoi(word(line, 2)));
       return false;
     }
     if (what == "spot") {
-      EXPECT_GE(world.spot_provisioned(), std::stoi(word(line, 2)));
+      EXPECT_GE(cluster.spot_provisioned(), std::stoi(word(line, 2)));
       return false;
     }
     if (what == "keys") {
-      EXPECT_LE(world.store().count(word(line, 2)), std::stoul(word(line, 3)));
+      EXPECT_LE(cluster.store().count(word(line, 2)), std::stoul(word(line, 3)));
       return false;
     }
     if (what == "machines") {
-      EXPECT_LE(world.machines_up(), std::stoi(word(line, 2)));
+      EXPECT_LE(cluster.machines_up(), std::stoi(word(line, 2)));
       return false;
     }
     if (what == "granted") {
-      EXPECT_GE(world.jobs_granted(), std::stoul(word(line, 2)));
+      EXPECT_GE(cluster.jobs_granted(), std::stoul(word(line, 2)));
       return false;
     }
     if (what == "promised") {
-      EXPECT_LE(world.grants_outstanding(), std::stoul(word(line, 2)));
+      EXPECT_LE(cluster.grants_outstanding(), std::stoul(word(line, 2)));
       return false;
     }
     if (what == "shed") {
-      EXPECT_LE(world.judge.submissions_shed, std::stoi(word(line, 2)));
+      EXPECT_LE(cluster.checker.submissions_shed, std::stoi(word(line, 2)));
       return false;
     }
     if (what == "answered") {
-      EXPECT_GE(100.0 * world.judge.polls_answered, std::stod(word(line, 2)) * world.judge.polls_asked)
-          << world.judge.polls_answered << " of " << world.judge.polls_asked << " questions answered";
+      EXPECT_GE(100.0 * cluster.checker.polls_answered, std::stod(word(line, 2)) * cluster.checker.polls_sent)
+          << cluster.checker.polls_answered << " of " << cluster.checker.polls_sent << " questions answered";
       return false;
     }
     const auto id = protocol::parse_job_id(word(line, 2)).value();
     if (what == "accepted") {
-      EXPECT_LE(world.judge.accepted_at.contains(id) ? world.judge.accepted_at[id] : 1e9,
+      EXPECT_LE(cluster.checker.accepted_at.contains(id) ? cluster.checker.accepted_at[id] : 1e9,
                 number(line, "by", 0))
           << word(line, 2);
     } else if (what == "done" || what == "withdrawn") {
-      EXPECT_EQ(world.last_state[id], what) << word(line, 2);
+      EXPECT_EQ(cluster.last_state[id], what) << word(line, 2);
       if (line.named.contains("by")) {
-        EXPECT_LE(world.finished_at.contains(id) ? world.finished_at[id] : 1e9, number(line, "by", 0))
+        EXPECT_LE(cluster.finished_at.contains(id) ? cluster.finished_at[id] : 1e9, number(line, "by", 0))
             << word(line, 2);
       }
     } else if (what == "runs") {
-      EXPECT_LE(world.first_run.contains(id) ? world.first_run[id] : 1e9, number(line, "by", 0))
+      EXPECT_LE(cluster.first_run.contains(id) ? cluster.first_run[id] : 1e9, number(line, "by", 0))
           << word(line, 2);
     } else if (what == "waits") {
-      EXPECT_FALSE(world.first_run.contains(id)) << word(line, 2);
+      EXPECT_FALSE(cluster.first_run.contains(id)) << word(line, 2);
     } else {
       ADD_FAILURE() << "line " << line.number << ": unknown word " << what;
     }
@@ -403,4 +405,4 @@
                          [](const auto& info) { return info.param; });
 
 }  // namespace
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world.cpp
+++ b/tests/simulated_cluster.cpp
@@ -1,21 +1,21 @@
-// The simulated world: time, network and controllers.
-#include "world.hpp"
+// The simulated cluster: time, network and controllers.
+#include "simulated_cluster.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "world_common.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 using protocol::TaskPhase;
 
-World::World(Options options) : options_(std::move(options)), random_(options_.seed) {
+SimulatedCluster::SimulatedCluster(Options options) : options_(std::move(options)), random_(options_.seed) {
   std::map<std::string, double> limits;
   for (const auto& [name, amounts] : options_.teams) {
     settings_.teams.push_back({name, amounts.first, amounts.second, 0, 0});
     limits[name] = amounts.second;
   }
-  judge.set_limits(limits, options_.cancel_s);
+  checker.set_limits(limits, options_.cancel_s);
   settings_.zones = options_.zones;
   settings_.count = options_.controllers;
   settings_.heartbeat_interval_s = options_.heartbeat_interval_s;
@@ -41,29 +41,29 @@
   for (int i = 0; i < options_.controllers; ++i) start_node(i);
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-void World::run_until(double time) {
+void SimulatedCluster::run_until(double time) {
   while (!events_.empty() && events_.top().at <= time) {
     auto event = events_.top();
     events_.pop();
     now_ = event.at;
     event.run();
-    judge.look(now_);
+    checker.look(now_);
     if (now_ < next_audit_) continue;
-    judge.watch_answers(now_);
+    checker.watch_answers(now_);
     if (now_ >= next_waiting_look_) look_for_waiting();
     next_audit_ = now_ + kAuditEvery;
     look_at_leases();
     for (auto& node : nodes_)
-      if (node.core)
-        if (const auto wrong = node.core->scheduler().audit(); !wrong.empty())
-          judge.breach("books", now_, node.name + ": " + wrong);
+      if (node.controller)
+        if (const auto wrong = node.controller->scheduler().audit(); !wrong.empty())
+          checker.breach("books", now_, node.name + ": " + wrong);
   }
   now_ = time;
 }
 
-void World::carry(const std::string& from, const std::string& to, std::function<void()> run) {
+void SimulatedCluster::carry(const std::string& from, const std::string& to, std::function<void()> run) {
   for (const auto& cut : cuts_) {
     const auto matches = [&](const std::string& a, const std::string& b) {
       return (cut.a == from || cut.a == "*") && (cut.b == to || cut.b == "*") && a != b;
@@ -77,32 +77,32 @@
   after(kHop + (now_ < link_until_ ? link_by_ * draw() : 0), std::move(run));
 }
 
-void World::look_for_waiting() {
+void SimulatedCluster::look_for_waiting() {
   next_waiting_look_ = now_ + kWaitingEvery;
-  std::vector<Judge::FreeRoom> rooms;
+  std::vector<InvariantChecker::FreeCapacity> free_machines;
   for (const auto& [name, w] : workers_) {
     if (!w.up || w.dead || w.gone ||
-        now_ < std::max({w.hung_until, w.mute_until, w.deaf_until, w.sick_until}))
+        now_ < std::max({w.hung_until, w.outbound_lost_until, w.inbound_lost_until, w.sick_until}))
       continue;
     const auto type = std::find_if(options_.types.begin(), options_.types.end(),
                                    [&](const auto& t) { return t.name == w.type; });
     if (type == options_.types.end()) continue;
-    Judge::FreeRoom room{w.type, w.zone, w.spot, type->cpus, type->memory_gb};
+    InvariantChecker::FreeCapacity free{w.type, w.zone, w.spot, type->cpus, type->memory_gb};
     for (const auto& [id, task] : w.tasks)
       if (task.phase != TaskPhase::kExited) {
-        room.cpus -= described_.at(id.job).cpus;
-        room.memory_gb -= described_.at(id.job).memory_gb;
+        free.cpus -= described_.at(id.job).cpus;
+        free.memory_gb -= described_.at(id.job).memory_gb;
       }
-    if (room.cpus > 0) rooms.push_back(std::move(room));
+    if (free.cpus > 0) free_machines.push_back(std::move(free));
   }
-  judge.watch_waiting(now_, rooms);
+  checker.watch_waiting(now_, free_machines);
 }
 
-void World::cut(const std::string& a, const std::string& b, double for_s, bool hold) {
+void SimulatedCluster::cut(const std::string& a, const std::string& b, double for_s, bool hold) {
   cuts_.push_back({a, b, now_ + for_s, hold});
 }
 
-void World::start_node(int i) {
+void SimulatedCluster::start_node(int i) {
   auto& node = nodes_[i];
   ++node.life;
   node.replies.clear();
@@ -116,33 +116,34 @@
   auto leases = options_.leases;
   leases.enabled = node.leases;
   const std::uint64_t incarnation =
-      (static_cast<std::uint64_t>(moment().wall_ms) << 16) | (random_() & 0xffff);
-  node.core = std::make_unique<coordination::Controller>(settings, policy, incarnation, random_(), leases);
+      (static_cast<std::uint64_t>(clock_reading().wall_ms) << 16) | (random_() & 0xffff);
+  node.controller =
+      std::make_unique<coordination::Controller>(settings, policy, incarnation, random_(), leases);
   const auto life = node.life;
   for (int other = 0; other < options_.controllers; ++other) {
     if (other == i) continue;
     after(0.01, [this, i, other, life] {
-      if (nodes_[i].life == life && nodes_[i].core && nodes_[other].core)
+      if (nodes_[i].life == life && nodes_[i].controller && nodes_[other].controller)
         link(i, other, true), link(other, i, true);
     });
   }
   after(0.001, [this, i, life] { tick_node(i, life); });
 }
 
-void World::link(int i, int other, bool up) {
+void SimulatedCluster::link(int i, int other, bool up) {
   enter(i, nodes_[i].life,
-        [this, i, other, up] { nodes_[i].core->on_link(moment(), nodes_[other].name, up); });
+        [this, i, other, up] { nodes_[i].controller->on_link(clock_reading(), nodes_[other].name, up); });
 }
 
-void World::enter(int i, std::uint64_t life, std::function<void()> event) {
+void SimulatedCluster::enter(int i, std::uint64_t life, std::function<void()> event) {
   auto& node = nodes_[i];
-  if (node.life != life || !node.core) return;
+  if (node.life != life || !node.controller) return;
   if (now_ < node.frozen_until) return node.backlog.push_back(std::move(event));
   event();
   drain(i);
 }
 
-void World::freeze(int i, double for_s) {
+void SimulatedCluster::freeze(int i, double for_s) {
   nodes_[i].frozen_until = now_ + for_s;
   after(for_s, [this, i, life = nodes_[i].life] {
     const auto backlog = std::exchange(nodes_[i].backlog, {});
@@ -150,18 +151,18 @@
   });
 }
 
-void World::tick_node(int i, std::uint64_t life) {
+void SimulatedCluster::tick_node(int i, std::uint64_t life) {
   // After it stood still the timers come last: what waited in the sockets is worked through first.
   if (nodes_[i].life == life && now_ < nodes_[i].frozen_until)
     return after(nodes_[i].frozen_until - now_, [this, i, life] { tick_node(i, life); });
   enter(i, life, [this, i, life] {
-    nodes_[i].core->on_tick(moment());
+    nodes_[i].controller->on_tick(clock_reading());
     after(kTick, [this, i, life] { tick_node(i, life); });
   });
 }
 
-void World::crash(int i, double back_after) {
-  nodes_[i].core.reset();
+void SimulatedCluster::crash(int i, double back_after) {
+  nodes_[i].controller.reset();
   ++nodes_[i].life;
   nodes_[i].frozen_until = -1;
   nodes_[i].backlog.clear();
@@ -173,30 +174,31 @@
   after(back_after, [this, i] { start_node(i); });
 }
 
-int World::leader() const {
+int SimulatedCluster::leader() const {
   for (int i = 0; i < options_.controllers; ++i)
-    if (nodes_[i].core && nodes_[i].core->election().valid()) return i;
+    if (nodes_[i].controller && nodes_[i].controller->election().valid()) return i;
   return -1;
 }
 
-void World::request(int i, const std::string& from, const std::string& method, const std::string& target,
-                    const std::string& body, std::function<void(int, const std::string&)> done) {
+void SimulatedCluster::request(int i, const std::string& from, const std::string& method,
+                               const std::string& target, const std::string& body,
+                               std::function<void(int, const std::string&)> done) {
   carry(from, nodes_[i].name, [this, i, from, method, target, body, done] {
     auto& node = nodes_[i];
-    if (!node.core) return carry(nodes_[i].name, from, [done] { done(0, ""); });
+    if (!node.controller) return carry(nodes_[i].name, from, [done] { done(0, ""); });
     const auto token = node.next_token++;
     node.replies[token] = [this, i, from, done](int status, const std::string& answer) {
       carry(nodes_[i].name, from, [done, status, answer] { done(status, answer); });
     };
     enter(i, node.life, [this, i, token, method, target, body] {
-      nodes_[i].core->on_request(moment(), {token, method, target, body});
+      nodes_[i].controller->on_request(clock_reading(), {token, method, target, body});
     });
   });
 }
 
-void World::drain(int i) {
+void SimulatedCluster::drain(int i) {
   auto& node = nodes_[i];
-  auto out = node.core->take_outbox();
+  auto out = node.controller->take_outbox();
   outbox_digest_.add(now_, node.name, out);
   const auto life = node.life;
   for (auto& reply : out.replies) {
@@ -204,18 +206,21 @@
     if (found == node.replies.end()) continue;
     const auto done = std::move(found->second);
     node.replies.erase(found);
-    if (sabotage_ == "done_early" && reply.body.find("running") != std::string::npos) {
+    if (injected_violation_ == "done_early" && reply.body.find("running") != std::string::npos) {
       if (const auto at = reply.body.find("\"stage\":\"running\""); at != std::string::npos)
         reply.body.replace(at, 17, "\"stage\":\"done\"");
     }
     // As if a cancellation did not reach the jobs after it.
-    if (sabotage_ == "orphans" && reply.status == 200) {
+    if (injected_violation_ == "orphans" && reply.status == 200) {
       if (const auto at = reply.body.find("\"stage\":\"withdrawn\""); at != std::string::npos)
         reply.body.replace(at, 19, "\"stage\":\"pending\"");
     }
-    if (sabotage_ == "accepts_all" && (reply.status == 400 || reply.status == 422)) reply.status = 201;
-    if (sabotage_ == "silent" && reply.body.find("\"stage\"") != std::string::npos) reply.status = 503;
-    if (sabotage_ == "forgets" && reply.status == 200 && reply.body.find("\"stage\"") != std::string::npos)
+    if (injected_violation_ == "accepts_all" && (reply.status == 400 || reply.status == 422))
+      reply.status = 201;
+    if (injected_violation_ == "silent" && reply.body.find("\"stage\"") != std::string::npos)
+      reply.status = 503;
+    if (injected_violation_ == "forgets" && reply.status == 200 &&
+        reply.body.find("\"stage\"") != std::string::npos)
       reply.status = 404;
     done(reply.status, reply.body);
   }
@@ -224,19 +229,19 @@
       if (nodes_[other].name != send.member) continue;
       carry(node.name, send.member, [this, other, frame = send.frame] {
         enter(other, nodes_[other].life,
-              [this, other, frame] { nodes_[other].core->on_frame(moment(), frame); });
+              [this, other, frame] { nodes_[other].controller->on_frame(clock_reading(), frame); });
       });
       if (repeats("frame"))
         after(repeats_.by, [this, other, frame = send.frame] {
           enter(other, nodes_[other].life,
-                [this, other, frame] { nodes_[other].core->on_frame(moment(), frame); });
+                [this, other, frame] { nodes_[other].controller->on_frame(clock_reading(), frame); });
         });
     }
   }
   for (auto& call : out.calls) {
     const auto finish = [this, i, life](std::uint64_t id, int status, const std::string& body) {
       enter(i, life, [this, i, id, status, body] {
-        nodes_[i].core->on_result(moment(), id, {status, body});
+        nodes_[i].controller->on_result(clock_reading(), id, {status, body});
       });
     };
     if (call.service == protocol::Service::kState) {
@@ -282,7 +287,7 @@
             if (!std::exchange(*answered, true)) finish(call.id, good ? 200 : 409, body);
           });
         };
-        if (now_ < w.deaf_until) return;  // commands don't reach it either
+        if (now_ < w.inbound_lost_until) return;  // commands don't reach it either
         if (w.repeat_command_by > 0) after(std::exchange(w.repeat_command_by, 0), deliver);
         if (repeats("command")) after(repeats_.by, deliver);
         if (w.late_command_by > 0)
@@ -296,4 +301,4 @@
   }
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,6 +1,6 @@
-// A world in virtual time for the controllers: stand-ins for state service, cloud, workers, users and
-// network, and a judge of the protocol's rules that sees only what workers do and users are announced, never
-// the scheduler's books.
+// A cluster in virtual time for the controllers: stand-ins for state service, cloud, workers, users and
+// network, and a checker of the protocol's rules that sees only what workers do and users are announced,
+// never the scheduler's books.
 #pragma once
 
 #include <functional>
@@ -18,12 +18,12 @@
 #include "quota/lease_options.hpp"
 #include "state_store.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 
 namespace json = boost::json;
 
-// ---- the judge ----
-class Judge {
+// ---- the checker ----
+class InvariantChecker {
  public:
   struct Placed {
     std::string machine, type, zone;
@@ -49,23 +49,23 @@
   // class's largest jobs served, the largest begun within four minutes.
   void watch_answers(double now);
   void close(double now);
-  void trouble_until(double time) { troubles_end_ = std::max(troubles_end_, time); }
+  void fault_until(double time) { faults_end_ = std::max(faults_end_, time); }
   // `asked_at`: an answer to a question from before a final answer may be older than that.
   void announced(double now, double asked_at, protocol::JobId id, int status, const std::string& state,
                  bool accepted);
-  void cancel_asked(protocol::JobId id) { cancel_asked_.insert(id); }
+  void cancel_requested(protocol::JobId id) { cancel_requested_.insert(id); }
   void look(double now);  // rules that time alone breaks
-  bool cancel_was_asked(protocol::JobId id) const { return cancel_asked_.contains(id); }
+  bool cancel_was_requested(protocol::JobId id) const { return cancel_requested_.contains(id); }
   // A job that can never run, or lacks a field, and what its user was announced of it.
-  void told_of_bad(double now, protocol::JobId id, int status, int expected);
+  void answered_bad(double now, protocol::JobId id, int status, int expected);
   // Resources for each type, zone and kind that is free now: after the last trouble no job is left waiting
   // beside it.
-  struct FreeRoom {
+  struct FreeCapacity {
     std::string type, zone;
     bool spot = false;
     double cpus = 0, memory_gb = 0;
   };
-  void watch_waiting(double now, const std::vector<FreeRoom>& rooms);
+  void watch_waiting(double now, const std::vector<FreeCapacity>& free_machines);
   const std::set<protocol::JobId>& all_accepted() const { return accepted_; }
   std::vector<protocol::JobId> running() const;  // accepted, with tasks on machines
   // Tasks on machines, by job.
@@ -74,8 +74,8 @@
   bool accepted(protocol::JobId id) const { return accepted_.contains(id); }
   const std::map<std::string, std::string>& broken() const { return broken_; }
   int starts = 0;
-  // Questions that users asked about jobs, and those answered with a state within 2 s.
-  int polls_asked = 0, polls_answered = 0;
+  // Questions that users requested about jobs, and those answered with a state within 2 s.
+  int polls_sent = 0, polls_answered = 0;
   int submissions_shed = 0;                       // turned away since too many requests wait
   std::map<protocol::JobId, double> accepted_at;  // when its user was first announced
   void breach(const char* rule, double now, const std::string& what);
@@ -83,7 +83,7 @@
  private:
   // Calls `visit` for all that the job needs, directly or through others, until it returns true.
   bool any_dependency(protocol::JobId id, const std::function<bool(protocol::JobId)>& visit) const;
-  // The cancellation of the job, or of one that it needs, was asked for.
+  // The cancellation of the job, or of one that it needs, was requested for.
   bool cancel_was_implied(protocol::JobId id) const;
   // When all that it needs was done, or its submission; nothing while it waits.
   std::optional<double> eligible_at(protocol::JobId id) const;
@@ -93,11 +93,11 @@
   std::map<protocol::JobId, std::string> final_;
   std::map<protocol::JobId, double> final_at_;
   std::map<protocol::JobId, double> cancelled_at_;
-  std::set<protocol::JobId> accepted_, cancel_asked_;
+  std::set<protocol::JobId> accepted_, cancel_requested_;
   std::map<protocol::JobId, double> done_at_;
   std::map<protocol::JobId, double> submitted_at_, began_at_, answered_at_, waits_since_;
   std::map<protocol::JobId, std::size_t> held_;  // tasks on machines or done, when last looked at
-  double troubles_end_ = 0;
+  double faults_end_ = 0;
   std::map<std::string, double> limits_;
   double cancel_s_ = 30;
   std::map<std::string, std::string> broken_;
@@ -120,10 +120,10 @@
   quota::LeaseOptions leases;  // of all controllers at their first start
 };
 
-class World {
+class SimulatedCluster {
  public:
-  explicit World(Options options);
-  ~World();
+  explicit SimulatedCluster(Options options);
+  ~SimulatedCluster();
   void run_until(double time);
   double now() const { return now_; }
 
@@ -143,7 +143,7 @@
   void hang(const std::string& machine, double for_s);
   void die(const std::string& machine);
   void sick(const std::string& machine, double for_s);
-  void notice(const std::string& machine, double after_s);
+  void interruption_notice(const std::string& machine, double after_s);
   // Each answer of the state service takes up to so long.
   void slow_state(double by_s, double for_s) {
     slow_by_ = by_s;
@@ -156,7 +156,7 @@
                       double by_s);  // its next heartbeat reaches the controllers late
   // Its next heartbeat arrives in time, and a copy of it late, at whichever controller leads then.
   void copy_heartbeat(const std::string& machine, double by_s);
-  void reborn(const std::string& machine);  // back at once: agent_epoch 1, nothing on it, no token seen
+  void reset_agent(const std::string& machine);  // back at once: agent_epoch 1, nothing on it, no token seen
   // Its next direct command is carried out late and never answered, or carried out, answered and carried out
   // again.
   void late_command(const std::string& machine, double by_s);
@@ -170,10 +170,10 @@
   // The controller stands still while its clocks run on; all that reached it is worked through afterwards.
   void freeze(int node, double for_s);
   // Its heartbeats reach no controller; direct commands get there.
-  void mute(const std::string& machine, double for_s);
+  void lose_outbound(const std::string& machine, double for_s);
   // Users call off so many running jobs at once; up to eight of their machines hang, if so announced.
   void cancel_running(int count, double hang_s);
-  // That share of the jobs that end is called off at the moment of the last task's end.
+  // That share of the jobs that end is called off at the clock_reading of the last task's end.
   void cancel_at_end(double share, double for_s) { end_share_ = share, end_until_ = now_ + for_s; }
   // That share of the transactions gets no answer and is carried out 2 s to `by` later.
   void late_writes(double share, double by_s, double for_s) {
@@ -200,7 +200,7 @@
     std::set<std::string> kinds;  // txn, cloud, command, user, frame, heartbeat
   };
   void repeat(Repeats repeats) { repeats_ = std::move(repeats); }
-  void sabotage(const std::string& how) { sabotage_ = how; }
+  void inject_violation(const std::string& how) { injected_violation_ = how; }
   // The controller has quota leases on or off from its next start on.
   void switch_leases(int node, bool on) { nodes_[node].leases = on; }
   // The team's limit in the settings of controllers that start from now on; a new team is added.
@@ -212,16 +212,16 @@
   std::string machine_of(const protocol::TaskId& task) const;
   std::string nth_machine(int n) const;
 
-  Judge judge;
+  InvariantChecker checker;
   std::map<protocol::JobId, std::string> last_state;  // by the users' polls
   std::map<protocol::JobId, double> first_run, finished_at;
   int machines_up() const;
   int spot_provisioned() const;  // spot machines that were ever there
-  coordination::Controller* controller(int node) { return nodes_[node].core.get(); }
+  coordination::Controller* controller(int node) { return nodes_[node].controller.get(); }
 
  private:
   struct Node {
-    std::unique_ptr<coordination::Controller> core;
+    std::unique_ptr<coordination::Controller> controller;
     std::uint64_t life = 0;
     std::string name;
     std::string zone;
@@ -241,8 +241,8 @@
   struct Worker {
     std::string name, type, zone, addr;
     bool spot = false, up = false, dead = false, gone = false;
-    double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, provisioned_at = 0, deaf_until = -1,
-           mute_until = -1;
+    double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, provisioned_at = 0,
+           inbound_lost_until = -1, outbound_lost_until = -1;
     bool hold_heartbeat = false;
     std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
     double lease_from = 0, last_sent = -10, next_heartbeat = 0;
@@ -269,7 +269,7 @@
   }
   // Carries something from one place to another; nothing when a cut swallows it.
   void carry(const std::string& from, const std::string& to, std::function<void()> run);
-  protocol::Moment moment() const {
+  protocol::ClockReading clock_reading() const {
     return {1000 + now_, 1'700'000'000'000 + static_cast<std::int64_t>(now_ * 1000)};
   }
   bool repeats(const char* kind) const { return now_ < repeats_.until && repeats_.kinds.contains(kind); }
@@ -333,7 +333,7 @@
   std::map<protocol::JobId, double> progress_;  // saved, of gangs
   std::map<protocol::JobId, std::set<std::uint32_t>> results_;
   std::map<protocol::JobId, double> run_s_;
-  std::string sabotage_;
+  std::string injected_violation_;
   Repeats repeats_;
   double end_share_ = 0, end_until_ = -1;
   double late_share_ = 0, late_share_by_ = 0, late_share_until_ = -1;
@@ -349,4 +349,4 @@
   void deliver_held(const std::string& name, const std::string& body, int was_leader, double until);
 };
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_cloud.cpp
+++ b/tests/simulated_cluster_cloud.cpp
@@ -2,15 +2,15 @@
 #include <algorithm>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 using protocol::TaskId;
 using protocol::TaskPhase;
 
-void World::machines(int count, const std::string& type, const std::string& zone, bool spot) {
+void SimulatedCluster::machines(int count, const std::string& type, const std::string& zone, bool spot) {
   for (int i = 0; i < count; ++i) {
     char name[32];
     std::snprintf(name, sizeof name, "host-%06d", next_machine_++);
@@ -32,15 +32,16 @@
   }
 }
 
-std::pair<int, std::string> World::cloud_call(const std::string& method, const std::string& target,
-                                              const std::string& body) {
+std::pair<int, std::string> SimulatedCluster::cloud_call(const std::string& method, const std::string& target,
+                                                         const std::string& body) {
   if (target == n::kPathCatalog) return {200, protocol::catalog_json(options_.types)};
   if (target == n::kPathReturn) {
     const auto names = protocol::parse_provisioned(body);
     for (const auto& name : *names) {
       const auto found = workers_.find(name);
-      // With this sabotage nothing ends cancelled work, neither the return of its machine nor its lease.
-      if (found == workers_.end() || sabotage_ == "never_stops") continue;
+      // With this inject_violation nothing ends cancelled work, neither the return of its machine nor its
+      // lease.
+      if (found == workers_.end() || injected_violation_ == "never_stops") continue;
       clear_worker(found->second);
       found->second.gone = true;
     }
@@ -90,14 +91,14 @@
   return {200, json::serialize(answer)};
 }
 
-std::string World::nth_machine(int index) const {
+std::string SimulatedCluster::nth_machine(int index) const {
   int i = 0;
   for (const auto& [name, worker] : workers_)
     if (i++ == index) return name;
   return {};
 }
 
-std::string World::machine_of(const TaskId& task) const {
+std::string SimulatedCluster::machine_of(const TaskId& task) const {
   for (const auto& [name, worker] : workers_)
     if (const auto found = worker.tasks.find(task);
         !worker.gone && found != worker.tasks.end() && found->second.phase != TaskPhase::kExited)
@@ -105,14 +106,14 @@
   return {};
 }
 
-int World::spot_provisioned() const {
+int SimulatedCluster::spot_provisioned() const {
   return static_cast<int>(
       std::count_if(workers_.begin(), workers_.end(), [](const auto& entry) { return entry.second.spot; }));
 }
 
-int World::machines_up() const {
+int SimulatedCluster::machines_up() const {
   return static_cast<int>(
       std::count_if(workers_.begin(), workers_.end(), [&](const auto& entry) { return !entry.second.gone; }));
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_common.hpp
+++ b/tests/simulated_cluster_common.hpp
@@ -1,9 +1,9 @@
-// Constants and helpers that the parts of the simulated world share.
+// Constants and helpers that the parts of the simulated cluster share.
 #pragma once
 
 #include <string>
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 
 inline constexpr double kHop = 0.002;           // s from one place to the next
 inline constexpr double kTick = 0.05;           // s between two ticks of a controller
@@ -25,4 +25,4 @@
   return target.substr(begin, target.find('&', begin) - begin);
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_troubles.cpp
+++ b/tests/simulated_cluster_faults.cpp
@@ -2,34 +2,44 @@
 #include <algorithm>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 using protocol::JobId;
 using protocol::JobSpec;
 
-void World::hang(const std::string& machine, double for_s) { workers_.at(machine).hung_until = now_ + for_s; }
-void World::sick(const std::string& machine, double for_s) { workers_.at(machine).sick_until = now_ + for_s; }
-void World::lose_answers(const std::string& machine, double for_s) {
-  workers_.at(machine).deaf_until = now_ + for_s;
+void SimulatedCluster::hang(const std::string& machine, double for_s) {
+  workers_.at(machine).hung_until = now_ + for_s;
+}
+void SimulatedCluster::sick(const std::string& machine, double for_s) {
+  workers_.at(machine).sick_until = now_ + for_s;
+}
+void SimulatedCluster::lose_answers(const std::string& machine, double for_s) {
+  workers_.at(machine).inbound_lost_until = now_ + for_s;
 }
 
-void World::late_heartbeat(const std::string& machine, double by_s) { workers_.at(machine).late_by = by_s; }
-void World::copy_heartbeat(const std::string& machine, double by_s) { workers_.at(machine).copy_by = by_s; }
-void World::late_command(const std::string& machine, double by_s) {
+void SimulatedCluster::late_heartbeat(const std::string& machine, double by_s) {
+  workers_.at(machine).late_by = by_s;
+}
+void SimulatedCluster::copy_heartbeat(const std::string& machine, double by_s) {
+  workers_.at(machine).copy_by = by_s;
+}
+void SimulatedCluster::late_command(const std::string& machine, double by_s) {
   workers_.at(machine).late_command_by = by_s;
 }
 
-void World::repeat_command(const std::string& machine, double by_s) {
+void SimulatedCluster::repeat_command(const std::string& machine, double by_s) {
   workers_.at(machine).repeat_command_by = by_s;
 }
 
-void World::mute(const std::string& machine, double for_s) { workers_.at(machine).mute_until = now_ + for_s; }
+void SimulatedCluster::lose_outbound(const std::string& machine, double for_s) {
+  workers_.at(machine).outbound_lost_until = now_ + for_s;
+}
 
-void World::cancel_running(int count, double hang_s) {
-  auto ids = judge.running();
+void SimulatedCluster::cancel_running(int count, double hang_s) {
+  auto ids = checker.running();
   std::shuffle(ids.begin(), ids.end(), random_);
   if (ids.size() > static_cast<std::size_t>(count)) ids.resize(count);
   int hung = 0;
@@ -45,18 +55,19 @@
   }
 }
 
-void World::job_ended(JobId id) {
-  if (now_ < end_until_ && judge.done(id) && !judge.cancel_was_asked(id) && draw() < end_share_) cancel(id);
+void SimulatedCluster::job_ended(JobId id) {
+  if (now_ < end_until_ && checker.done(id) && !checker.cancel_was_requested(id) && draw() < end_share_)
+    cancel(id);
 }
 
-void World::odd_requests(double for_s) {
+void SimulatedCluster::odd_requests(double for_s) {
   for (int i = 0; i < 3; ++i) odd_request(now_ + for_s, i);
 }
 
-void World::odd_request(double until, int n) {
+void SimulatedCluster::odd_request(double until, int n) {
   if (now_ > until) return;
   after(0.5 + draw(), [this, until, n] { odd_request(until, n + 1); });
-  const auto known = judge.running();
+  const auto known = checker.running();
   JobSpec bad;
   bad.id = 900000 + random_() % 90000;
   bad.team = options_.teams.begin()->first;
@@ -69,7 +80,7 @@
   const auto send = [&](const std::string& body, int expected) {
     request(node, "users", "POST", n::kPathJobs, body,
             [this, id = bad.id, expected](int status, const std::string&) {
-              judge.told_of_bad(now_, id, status, expected);
+              checker.answered_bad(now_, id, status, expected);
             });
   };
   switch (n % 8) {
@@ -79,7 +90,7 @@
     case 1:  // done, and cancelled nevertheless
       for (const auto& [id, state] : last_state)
         if (state == n::kStateDone) {
-          judge.cancel_asked(id);
+          checker.cancel_requested(id);
           try_cancel(id);
           break;
         }
@@ -99,13 +110,14 @@
       send(json::serialize(protocol::job_json(bad)), 422);
       break;
     case 5:
-      request(
-          node, "users", "GET", std::string(n::kPathJobs) + "/" + protocol::job_id_text(bad.id), "",
-          [this, id = bad.id](int status, const std::string&) { judge.told_of_bad(now_, id, status, 404); });
+      request(node, "users", "GET", std::string(n::kPathJobs) + "/" + protocol::job_id_text(bad.id), "",
+              [this, id = bad.id](int status, const std::string&) {
+                checker.answered_bad(now_, id, status, 404);
+              });
       break;
     case 6:  // needs a job that nobody has submitted, or itself
       bad.dependencies = {bad.id - 1};
-      if (!judge.all_accepted().empty()) bad.dependencies.push_back(*judge.all_accepted().begin());
+      if (!checker.all_accepted().empty()) bad.dependencies.push_back(*checker.all_accepted().begin());
       std::sort(bad.dependencies.begin(), bad.dependencies.end());
       send(json::serialize(protocol::job_json(bad)), 422);
       break;
@@ -116,7 +128,8 @@
   }
 }
 
-void World::deliver_held(const std::string& name, const std::string& body, int was_leader, double until) {
+void SimulatedCluster::deliver_held(const std::string& name, const std::string& body, int was_leader,
+                                    double until) {
   const int now_leads = leader();
   if (now_ < until && (now_leads < 0 || now_leads == was_leader))
     return after(kTick,
@@ -129,7 +142,7 @@
   });
 }
 
-void World::reborn(const std::string& machine) {
+void SimulatedCluster::reset_agent(const std::string& machine) {
   auto& worker = workers_.at(machine);
   clear_worker(worker);
   worker.agent_epoch = 1;
@@ -139,12 +152,13 @@
   worker.next_heartbeat = now_;
 }
 
-void World::apart(int node, double for_s, bool reset) {
+void SimulatedCluster::apart(int node, double for_s, bool reset) {
   for (int other = 0; reset && other < options_.controllers; ++other) {
     if (other == node) continue;
     link(node, other, false), link(other, node, false);
     after(for_s + 0.01, [this, node, other] {
-      if (nodes_[node].core && nodes_[other].core) link(node, other, true), link(other, node, true);
+      if (nodes_[node].controller && nodes_[other].controller)
+        link(node, other, true), link(other, node, true);
     });
   }
   cut(nodes_[node].name, "state", for_s, false);
@@ -152,13 +166,13 @@
     if (other.name != nodes_[node].name) cut(nodes_[node].name, other.name, for_s, false);
 }
 
-void World::die(const std::string& machine) {
+void SimulatedCluster::die(const std::string& machine) {
   auto& worker = workers_.at(machine);
   clear_worker(worker);
   worker.dead = true;
 }
 
-void World::notice(const std::string& machine, double after_s) {
+void SimulatedCluster::interruption_notice(const std::string& machine, double after_s) {
   workers_.at(machine).taken_at = now_ + after_s;
   workers_.at(machine).changed = true;
   after(after_s, [this, machine] {
@@ -168,4 +182,4 @@
   });
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_leases.cpp
+++ b/tests/simulated_cluster_leases.cpp
@@ -3,10 +3,10 @@
 #include <cmath>
 
 #include "constants.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 using protocol::JobId;
 
 namespace {
@@ -18,22 +18,22 @@
 }  // namespace
 
 // Running tasks that a valid lease has promised stand in that lease's size already.
-void World::look_at_leases() {
+void SimulatedCluster::look_at_leases() {
   std::map<std::string, TeamUse> teams;
   std::map<JobId, std::uint32_t> promised;
   for (const auto& node : nodes_) {
-    if (!node.core) continue;
-    if (const auto wrong = node.core->quota_leases().audit(); !wrong.empty())
-      judge.breach("books", now_, node.name + ": " + wrong);
-    const auto& lessee = node.core->quota_leases().lessee();
-    if (!lessee.valid(moment().steady)) continue;
+    if (!node.controller) continue;
+    if (const auto wrong = node.controller->quota_leases().audit(); !wrong.empty())
+      checker.breach("books", now_, node.name + ": " + wrong);
+    const auto& lessee = node.controller->quota_leases().lessee();
+    if (!lessee.valid(clock_reading().steady)) continue;
     for (const auto& [job, grant] : lessee.grants()) promised[job] += grant.tasks;
     for (const auto& team : settings_.teams)
       teams[team.name].leased += static_cast<double>(lessee.held(team.name).cpus) / constants::kThousandths;
   }
-  if (sabotage_ == "leases_twice")
+  if (injected_violation_ == "leases_twice")
     for (auto& [name, use] : teams) use.leased *= 100;
-  for (const auto& [job, tasks] : judge.tasks_on_machines()) {
+  for (const auto& [job, tasks] : checker.tasks_on_machines()) {
     const auto& spec = described_.at(job);
     auto& use = teams[spec.team];
     use.running += spec.cpus * tasks;
@@ -43,16 +43,16 @@
   for (const auto& team : settings_.teams) {
     const auto& use = teams[team.name];
     if (use.leased > 0 && use.running - use.covered + use.leased > team.cpus_max + 1e-3)
-      judge.breach("leases", now_,
-                   team.name + " runs " + std::to_string(use.running) + " cpus, " +
-                       std::to_string(use.covered) + " of them promised by leases of " +
-                       std::to_string(use.leased));
+      checker.breach("leases", now_,
+                     team.name + " runs " + std::to_string(use.running) + " cpus, " +
+                         std::to_string(use.covered) + " of them promised by leases of " +
+                         std::to_string(use.leased));
   }
 }
 
 // Launches that are on their way when the settings change arrive within the time for which a lower limit is
 // not judged yet.
-void World::set_limit(const std::string& team, double cpus_max) {
+void SimulatedCluster::set_limit(const std::string& team, double cpus_max) {
   const auto found = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                   [&](const auto& known) { return known.name == team; });
   const bool lower = found != settings_.teams.end() && cpus_max < found->cpus_max;
@@ -60,24 +60,24 @@
     settings_.teams.push_back({team, 0, cpus_max, 0, 0});
   else
     found->cpus_max = cpus_max;
-  after(lower ? kLaunchesOnTheWay : 0, [this, team, cpus_max] { judge.set_limit(team, cpus_max); });
+  after(lower ? kLaunchesOnTheWay : 0, [this, team, cpus_max] { checker.set_limit(team, cpus_max); });
 }
 
-std::uint64_t World::jobs_granted() const {
+std::uint64_t SimulatedCluster::jobs_granted() const {
   std::uint64_t sum = 0;
   for (const auto& node : nodes_)
-    if (node.core) sum += node.core->quota_leases().lessee().counters().granted;
+    if (node.controller) sum += node.controller->quota_leases().lessee().counters().granted;
   return sum;
 }
 
-std::size_t World::grants_outstanding() const {
+std::size_t SimulatedCluster::grants_outstanding() const {
   std::size_t sum = 0;
   for (const auto& node : nodes_) {
-    if (!node.core) continue;
-    sum += node.core->quota_leases().lessee().outstanding();
-    sum += node.core->quota_leases().lessor().ledger().grants().size();
+    if (!node.controller) continue;
+    sum += node.controller->quota_leases().lessee().outstanding();
+    sum += node.controller->quota_leases().lessor().ledger().grants().size();
   }
   return sum;
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_state_service.cpp
+++ b/tests/simulated_cluster_state_service.cpp
@@ -3,13 +3,13 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 
-void World::state_request(int i, std::uint64_t life, const protocol::Call& call) {
+void SimulatedCluster::state_request(int i, std::uint64_t life, const protocol::Call& call) {
   auto answered = std::make_shared<bool>(false);
   after(call.timeout_s, [this, answered, i, life, id = call.id] {
     if (!std::exchange(*answered, true)) state_answer(i, life, id, 0, "");
@@ -57,23 +57,26 @@
   });
 }
 
-void World::state_answer(int i, std::uint64_t life, std::uint64_t id, int status, const std::string& body) {
-  enter(i, life, [this, i, id, status, body] { nodes_[i].core->on_result(moment(), id, {status, body}); });
+void SimulatedCluster::state_answer(int i, std::uint64_t life, std::uint64_t id, int status,
+                                    const std::string& body) {
+  enter(i, life, [this, i, id, status, body] {
+    nodes_[i].controller->on_result(clock_reading(), id, {status, body});
+  });
 }
 
-void World::expire_leases() {
+void SimulatedCluster::expire_leases() {
   if (now_ < state_down_until_) return store_.extend_leases(state_down_until_);
   store_.expire_leases(now_);
 }
 
-void World::state_changed() {
+void SimulatedCluster::state_changed() {
   expire_leases();
   std::vector<Watch> kept, due;
   for (auto& watch : watches_) {
     std::string body;
-    const bool silent = now_ < std::max(state_down_until_, watches_lost_until_) ||
-                        (refused_until_.contains(watch.node) && now_ < refused_until_[watch.node]);
-    if (!silent && store_.watch_answer(watch.call.target, now_ + 1e-9 >= watch.until, body)) {
+    const bool unanswered = now_ < std::max(state_down_until_, watches_lost_until_) ||
+                            (refused_until_.contains(watch.node) && now_ < refused_until_[watch.node]);
+    if (!unanswered && store_.watch_answer(watch.call.target, now_ + 1e-9 >= watch.until, body)) {
       watch.call.body = body;
       due.push_back(std::move(watch));
     } else if (now_ < watch.until + 5) {
@@ -86,8 +89,8 @@
           [this, watch] { state_answer(watch.node, watch.life, watch.call.id, 200, watch.call.body); });
 }
 
-std::pair<int, std::string> World::state_call(const std::string& method, const std::string& target,
-                                              const std::string& body) {
+std::pair<int, std::string> SimulatedCluster::state_call(const std::string& method, const std::string& target,
+                                                         const std::string& body) {
   const auto answer = store_.call(now_, method, target, body);
   // Leases end by time alone, and whoever watches their keys hears of it then.
   if (target.starts_with(n::kPathLeases))
@@ -95,8 +98,8 @@
   return answer;
 }
 
-void World::state_limits(double value_kb, int txn_ops, double write_rps) {
+void SimulatedCluster::state_limits(double value_kb, int txn_ops, double write_rps) {
   store_.set_limits(now_, value_kb, txn_ops, write_rps);
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_users.cpp
+++ b/tests/simulated_cluster_users.cpp
@@ -2,26 +2,26 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 using protocol::JobId;
 using protocol::JobSpec;
 
-void World::submit(const JobSpec& spec) {
+void SimulatedCluster::submit(const JobSpec& spec) {
   described_[spec.id] = spec;
   run_s_[spec.id] = spec.estimate_s;
-  if (!judge.may_be_submitted(spec)) {
-    judge.submitted(now_, spec);
+  if (!checker.may_be_submitted(spec)) {
+    checker.submitted(now_, spec);
     return after(0.05, [this, spec] { submit(spec); });
   }
-  judge.submitted(now_, spec);
+  checker.submitted(now_, spec);
   try_submit(spec, now_);
 }
 
-void World::try_submit(JobSpec spec, double since) {
+void SimulatedCluster::try_submit(JobSpec spec, double since) {
   if (now_ - since > 60) return;
   const int node = static_cast<int>(random_() % nodes_.size());
   if (repeats("user") && now_ == since)
@@ -38,12 +38,12 @@
             if (value && value->is_object())
               if (const auto* found = value->get_object().if_contains(n::kState))
                 state = std::string(found->as_string());
-            judge.announced(now_, asked_at, spec.id, status, state, true);
+            checker.announced(now_, asked_at, spec.id, status, state, true);
             if (status == 503 && body.find("too many requests") != std::string::npos)
-              ++judge.submissions_shed;
+              ++checker.submissions_shed;
             if (status == 200 || status == 201) {
-              judge.answered(now_, spec.id);
-              judge.accepted_at.emplace(spec.id, now_);
+              checker.answered(now_, spec.id);
+              checker.accepted_at.emplace(spec.id, now_);
             }
             if (std::exchange(*answered, true)) return;
             if (status == 201 || status == 200) return poll(spec.id);
@@ -51,15 +51,15 @@
           });
 }
 
-void World::cancel(JobId id) {
+void SimulatedCluster::cancel(JobId id) {
   // Users cancel what they know to be accepted.
-  if (!judge.accepted(id)) return after(0.05, [this, id] { cancel(id); });
-  judge.cancel_asked(id);
+  if (!checker.accepted(id)) return after(0.05, [this, id] { cancel(id); });
+  checker.cancel_requested(id);
   try_cancel(id);
   if (repeats("user")) after(repeats_.by, [this, id] { try_cancel(id); });
 }
 
-void World::try_cancel(JobId id) {
+void SimulatedCluster::try_cancel(JobId id) {
   const int node = static_cast<int>(random_() % nodes_.size());
   auto answered = std::make_shared<bool>(false);
   const auto again = [this, id] { after(1, [this, id] { try_cancel(id); }); };
@@ -73,20 +73,20 @@
             if (value && value->is_object())
               if (const auto* found = value->get_object().if_contains(n::kState))
                 state = std::string(found->as_string());
-            judge.announced(now_, asked_at, id, status, state, true);
+            checker.announced(now_, asked_at, id, status, state, true);
             if (std::exchange(*answered, true)) return;
             if (status != 200) return again();
             last_state[id] = state;
           });
 }
 
-void World::polls_storm(double for_s) {
+void SimulatedCluster::polls_storm(double for_s) {
   if (for_s <= 0) return;
-  for (const auto id : judge.all_accepted()) after(0.1 * draw(), [this, id] { ask(id); });
+  for (const auto id : checker.all_accepted()) after(0.1 * draw(), [this, id] { ask(id); });
   after(0.1, [this, for_s] { polls_storm(for_s - 0.1); });
 }
 
-void World::poll(JobId id) {
+void SimulatedCluster::poll(JobId id) {
   ask(id);
   const auto known = last_state.find(id);
   const bool over =
@@ -94,23 +94,23 @@
   after(over ? 20 : 2, [this, id] { poll(id); });
 }
 
-void World::ask(JobId id) {
+void SimulatedCluster::ask(JobId id) {
   const int node = static_cast<int>(random_() % nodes_.size());
-  if (nodes_[node].core) ++judge.polls_asked;  // else the load balancer tries another
+  if (nodes_[node].controller) ++checker.polls_sent;  // else the load balancer tries another
   request(node, "users", "GET", std::string(n::kPathJobs) + "/" + protocol::job_id_text(id), "",
           [this, id, asked_at = now_](int status, const std::string& body) {
             const auto value = protocol::parse_json(body);
             std::string state;
             if (status == 200 && value && value->is_object())
               state = std::string(value->get_object().at(n::kState).as_string());
-            judge.announced(now_, asked_at, id, status, state, true);
+            checker.announced(now_, asked_at, id, status, state, true);
             if (status != 200 && status != 404) return;
-            judge.answered(now_, id);
-            if (now_ - asked_at <= kPollPatienceS) ++judge.polls_answered;
+            checker.answered(now_, id);
+            if (now_ - asked_at <= kPollPatienceS) ++checker.polls_answered;
             if (state.empty()) return;
             last_state[id] = state;
             if (state == n::kStateDone) finished_at.emplace(id, now_);
           });
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/world_workers.cpp
+++ b/tests/simulated_cluster_workers.cpp
@@ -5,27 +5,27 @@
 #include <utility>
 
 #include "protocol/names.hpp"
-#include "world.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 using protocol::Command;
 using protocol::ExitReason;
 using protocol::TaskId;
 using protocol::TaskPhase;
 
-void World::drop_task(Worker& worker, const TaskId& id) {
-  judge.off_machine(id, worker.name);
+void SimulatedCluster::drop_task(Worker& worker, const TaskId& id) {
+  checker.off_machine(id, worker.name);
   worker.changed = true;
 }
 
-void World::clear_worker(Worker& worker) {
+void SimulatedCluster::clear_worker(Worker& worker) {
   for (const auto& [id, task] : worker.tasks) drop_task(worker, id);
   worker.tasks.clear();
 }
 
-void World::exit_task(Worker& worker, const TaskId& id, ExitReason exit_reason, bool saved) {
+void SimulatedCluster::exit_task(Worker& worker, const TaskId& id, ExitReason exit_reason, bool saved) {
   auto& task = worker.tasks.at(id);
   if (task.phase == TaskPhase::kExited) return;
   task.phase = TaskPhase::kExited;
@@ -35,7 +35,7 @@
 }
 
 // All tasks of the gang's attempt on some machine? `ready`: how many have their image and wait or run.
-bool World::gang_present(const TaskId& id, std::uint64_t attempt, int& ready) const {
+bool SimulatedCluster::gang_present(const TaskId& id, std::uint64_t attempt, int& ready) const {
   std::set<std::uint32_t> present;
   ready = 0;
   for (const auto& [name, worker] : workers_) {
@@ -49,7 +49,7 @@
   return present.size() == described_.at(id.job).tasks;
 }
 
-void World::worker_step(Worker& worker) {
+void SimulatedCluster::worker_step(Worker& worker) {
   if (worker.gone || worker.dead) return;
   after(kWorkerStep, [this, name = worker.name] { worker_step(workers_.at(name)); });
   if (now_ < worker.hung_until) return;
@@ -58,7 +58,7 @@
     worker.lease_from = now_;
     worker.changed = true;
   }
-  if (now_ - worker.lease_from > options_.lease_s && sabotage_ != "never_stops") {
+  if (now_ - worker.lease_from > options_.lease_s && injected_violation_ != "never_stops") {
     clear_worker(worker);
     ++worker.agent_epoch;
     worker.seq = 0;
@@ -81,7 +81,7 @@
           worker.changed = true;
           break;
         }
-        judge.on_machine(now_, id, {worker.name, worker.type, worker.zone, worker.spot});
+        checker.on_machine(now_, id, {worker.name, worker.type, worker.zone, worker.spot});
         worker.changed = true;
         if (results_[id.job].contains(id.index)) {
           exit_task(worker, id, ExitReason::kDone, false);
@@ -93,13 +93,13 @@
         task.ends_at = now_ + run_s_[id.job];
         if (!spec.gang) {
           first_run.emplace(id.job, now_);
-          judge.began(now_, id);
+          checker.began(now_, id);
         }
         break;
       case TaskPhase::kWaiting:
         if (gang_present(id, task.attempt, ready) && ready == static_cast<int>(spec.tasks)) {
           first_run.emplace(id.job, now_);
-          judge.began(now_, id);
+          checker.began(now_, id);
           for (auto& [name, other] : workers_)
             for (auto& [mate, mate_task] : other.tasks)
               if (mate.job == id.job && mate_task.attempt == task.attempt &&
@@ -130,7 +130,7 @@
         if (now_ < task.ends_at) break;
         if (!spec.gang) {
           results_[id.job].insert(id.index);
-          judge.task_done(now_, id);
+          checker.task_done(now_, id);
           exit_task(worker, id, ExitReason::kDone, false);
           job_ended(id.job);
           break;
@@ -141,7 +141,7 @@
             if (mate.job == id.job && mate_task.attempt == task.attempt) mates.push_back(mate);
           for (const auto& mate : mates) {
             results_[id.job].insert(mate.index);
-            judge.task_done(now_, mate);
+            checker.task_done(now_, mate);
             exit_task(other, mate, ExitReason::kDone, false);
           }
         }
@@ -168,7 +168,7 @@
     send_heartbeat(worker);
 }
 
-protocol::Heartbeat World::heartbeat_of(Worker& worker) {
+protocol::Heartbeat SimulatedCluster::heartbeat_of(Worker& worker) {
   protocol::Heartbeat heartbeat;
   heartbeat.machine = worker.name;
   heartbeat.addr = worker.addr;
@@ -184,7 +184,7 @@
   return heartbeat;
 }
 
-void World::send_heartbeat(Worker& worker) {
+void SimulatedCluster::send_heartbeat(Worker& worker) {
   const auto heartbeat = heartbeat_of(worker);
   worker.changed = false;
   worker.in_flight = true;
@@ -202,7 +202,7 @@
               if (w.gone || w.dead || flight != w.flight || !w.in_flight || now_ - sent > 4 ||
                   now_ < w.hung_until || agent_epoch != w.agent_epoch)
                 return;
-              if (now_ < w.deaf_until) return;  // the answer is lost
+              if (now_ < w.inbound_lost_until) return;  // the answer is lost
               w.in_flight = false;
               if (status != 200) {
                 w.node = (w.node + 1) % options_.controllers;
@@ -218,7 +218,7 @@
               execute_commands(w, list->commands);
             });
   };
-  if (now_ < worker.mute_until) return;  // no connection to any controller
+  if (now_ < worker.outbound_lost_until) return;  // no connection to any controller
   if (std::exchange(worker.hold_heartbeat, false))
     return deliver_held(name, protocol::heartbeat_json(heartbeat), leader(), now_ + 120);
   if (worker.copy_by > 0 || repeats("report")) {
@@ -235,7 +235,7 @@
     send();
 }
 
-void World::execute_commands(Worker& worker, const std::vector<Command>& commands) {
+void SimulatedCluster::execute_commands(Worker& worker, const std::vector<Command>& commands) {
   for (const auto& command : commands) {
     auto found = worker.tasks.find(command.task);
     if (command.op == Command::Op::kClear) {
@@ -245,7 +245,7 @@
       continue;
     }
     if (command.op == Command::Op::kLaunch) {
-      if (sabotage_ == "starves") continue;
+      if (injected_violation_ == "starves") continue;
       if (found != worker.tasks.end() && found->second.attempt == command.attempt) continue;
       Task task;
       task.attempt = command.attempt;
@@ -269,17 +269,17 @@
       }
       worker.tasks[command.task] = task;
       if (task.exit_reason == ExitReason::kNone) {
-        judge.launched(now_, command.task);
+        checker.launched(now_, command.task);
         for (const auto id : described_.at(command.task.job).dependencies)
           if (!store_.contains(bookkeeping::JobLedger::final_key(id)))
-            judge.breach("too_early", now_, protocol::task_text(command.task) + ": an end is not durable");
+            checker.breach("too_early", now_, protocol::task_text(command.task) + ": an end is not durable");
       }
       // As if whatever waits for this job were launched with it.
-      if (sabotage_ == "too_early")
+      if (injected_violation_ == "too_early")
         for (const auto& [id, spec] : described_)
           if (std::count(spec.dependencies.begin(), spec.dependencies.end(), command.task.job) > 0)
-            judge.launched(now_, {id, 0});
-      if (sabotage_ == "starts_twice") {
+            checker.launched(now_, {id, 0});
+      if (injected_violation_ == "starts_twice") {
         // As if a scheduler launched the same task elsewhere too.
         for (auto& [name, other] : workers_)
           if (name != worker.name && other.up && !other.tasks.contains(command.task)) {
@@ -291,7 +291,8 @@
       }
       continue;
     }
-    if (sabotage_ == "never_stops" || found == worker.tasks.end() || found->second.attempt != command.attempt)
+    if (injected_violation_ == "never_stops" || found == worker.tasks.end() ||
+        found->second.attempt != command.attempt)
       continue;
     auto& task = found->second;
     const auto& spec = described_.at(command.task.job);
@@ -306,4 +307,4 @@
   }
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/state_store.cpp
+++ b/tests/state_store.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 
 #include "protocol/names.hpp"
-#include "world_common.hpp"
+#include "simulated_cluster_common.hpp"
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 namespace n = names;
 namespace json = boost::json;
 
@@ -188,4 +188,4 @@
       changes_.begin(), changes_.end(), [&](const auto& change) { return change.key.starts_with(prefix); }));
 }
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
--- a/tests/state_store.hpp
+++ b/tests/state_store.hpp
@@ -1,5 +1,5 @@
 // The stand-in of the state service: keys, leases, transactions and changes, by its published protocol. It
-// knows no network and no troubles; the simulated world and the loopback tests put these around it.
+// knows no network and no troubles; the simulated cluster and the loopback tests put these around it.
 #pragma once
 
 #include <boost/json.hpp>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace robinford::testing_world {
+namespace robinford::simulation {
 
 class StateStore {
  public:
@@ -59,4 +59,4 @@
   int refusals_ = 0;
 };
 
-}  // namespace robinford::testing_world
+}  // namespace robinford::simulation
