--- a/src/bookkeeping/job_ledger.cpp
+++ b/src/bookkeeping/job_ledger.cpp
@@ -15,7 +15,7 @@
 constexpr char kSubmittedField[] = "at";
 constexpr char kDoneField[] = "done";
 constexpr char kFinalField[] = "over";
-constexpr char kCancelledField[] = "off";  // wall ms of the withdrawal
+constexpr char kCancelledField[] = "off";  // wall ms of the cancellation
 constexpr char kReadyField[] = "ready";    // wall ms of the end of the last dependency
 constexpr char kDoneBitsField[] =
     "bits";  // completions as hexadecimal digits, task 0 in the lowest bit of the first
@@ -53,7 +53,7 @@
     case JobState::kCompleting:
       return "completing";
     case JobState::kCancelling:
-      return "withdrawing";
+      return "cancelling";
     case JobState::kOver:
       return "over";
   }
@@ -65,7 +65,7 @@
     case GangState::kQueued:
       return "queued";
     case GangState::kReserving:
-      return "holding";
+      return "reserving";
     case GangState::kLaunching:
       return "launching";
     case GangState::kRunning:
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -23,7 +23,8 @@
 
 inline constexpr char kLiveJobPrefix[] = "j/";
 inline constexpr char kFinalJobPrefix[] = "f/";
-inline constexpr char kEntryCancelled[] = "withdrawn";  // field of a notice: the job it names is cancelled
+inline constexpr char kEntryCancelled[] =
+    "withdrawn";  // field of a change-log entry: the job it names is cancelled
 
 enum class FinalState : std::uint8_t { kDone, kCancelled };
 const char* to_text(FinalState state);
@@ -33,7 +34,7 @@
   kPlanned,   // chosen for the machine; its launch waits for the durable note or for the answer to carry it
   kLaunched,  // the launch was sent and no heartbeat has shown the outcome yet
   kPresent,   // a heartbeat showed it
-  kStopping,  // announced to stop, not gone yet
+  kStopping,  // told to stop, not gone yet
 };
 const char* to_text(RunState state);
 
@@ -50,7 +51,7 @@
   double stop_grace = 0;
 };
 
-// A gang's claim on room of one machine, before its tasks are numbered.
+// A gang's claim on capacity of one machine, before its tasks are numbered.
 struct Reservation {
   std::string machine;
   double made_at = 0, expires_at = 0;
@@ -91,7 +92,7 @@
   Priority inherited_priority = Priority::kLow;
   double inherited_due_ms = std::numeric_limits<double>::infinity();
   bool before = false;            // read from the ledger: an earlier leader may have placed tasks of it
-  std::int64_t cancelled_ms = 0;  // time of day of its withdrawal, by whoever wrote it
+  std::int64_t cancelled_ms = 0;  // time of day of its cancellation, by whoever wrote it
   bool marked = false;            // cancelled, and its live record says so until nothing of it is left
 
   std::vector<bool> done;
@@ -113,7 +114,7 @@
   const char* logged_wait_reason = nullptr;  // the reason for waiting that was logged last
   bool was_placed = false;                   // this leader has taken capacity for it at least once
   bool queued = false;                       // stands in its team's queue (arrays)
-  double next_preempt = 0;                   // no search for room to empty before
+  double next_preempt = 0;                   // no search for capacity to empty before
 
   int failures = 0;  // in a row, over all machines
   double backoff_until = 0;
@@ -150,7 +151,7 @@
   std::optional<FinalState> final_state(JobId id) const;
   void remember_final(JobId id, FinalState state);
 
-  // Records. A record that would not fit the limit reservations as many completions as do; `whole` tells.
+  // Records. A record that would not fit the limit holds as many completions as do; `whole` tells.
   static boost::json::object record(const Job& job, std::size_t limit, bool& whole);
   // The live record of a cancelled job keeps its description until nothing of it can be on any machine: a new
   // leader has to know what may still run.
--- a/src/bookkeeping/machine_ledger.cpp
+++ b/src/bookkeeping/machine_ledger.cpp
@@ -14,7 +14,7 @@
     case MachineState::kUp:
       return "up";
     case MachineState::kUnresponsive:
-      return "silent";
+      return "unresponsive";
     case MachineState::kReturning:
       return "returning";
     case MachineState::kGone:
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -18,9 +18,9 @@
 inline constexpr char kMachinePrefix[] = "m/";
 
 enum class MachineState : std::uint8_t {
-  kBooting,       // rented or listed, never sent_heartbeat to this leader
-  kUp,            // heartbeats
-  kUnresponsive,  // was expected to heartbeat and does not
+  kBooting,       // provisioned or listed, never sent a heartbeat to this leader
+  kUp,            // sends heartbeats
+  kUnresponsive,  // was expected to send heartbeats and does not
   kReturning,     // its return was asked for; all on it counts until the cloud's answer
   kGone,          // the cloud confirmed the return
 };
@@ -44,7 +44,7 @@
       false;  // on record from an earlier leader, and not proven yet: may hold tasks of that time
   double last_heartbeat = -1e9;
   double last_answer = -1e9;  // the last 200 with this leader's token
-  // When its present agent_epoch was first shown with this leader's token: it began, and its last heartbeat
+  // When its present agent epoch was first shown with this leader's token: it began, and its last heartbeat
   // that anybody else answered was sent, no later than that.
   double agent_epoch_shown_at = -1e9;
   std::optional<double> interruption_at;  // steady, when the cloud takes it
@@ -53,8 +53,8 @@
   double last_listed = -1e9;
 
   std::set<TaskId> tasks;        // runs of the job ledger on this machine
-  std::set<JobId> reservations;  // gangs that hold free_resources here (possibly several reservations each)
-  // Withdrawn jobs of which it may hold tasks, and when it is given back unless it has shown that they are
+  std::set<JobId> reservations;  // gangs that hold capacity here (possibly several reservations each)
+  // Cancelled jobs of which it may hold tasks, and when it is given back unless it has shown that they are
   // gone.
   std::map<JobId, double> overdue;
   std::vector<PendingClear> clears;
@@ -64,7 +64,7 @@
       unknown_task_charge;       // what they cost their teams: cpus, gpus
   std::uint32_t gang_tasks = 0;  // of the tasks, those of gangs, ...
   double gang_cpus = 0;          // ... and what they and the reservations take
-  // Attempts started by a direct command under this term and in this agent_epoch. Such a command may be
+  // Attempts started by a direct command under this term and in this agent epoch. Such a command may be
   // carried out late or once more, which does nothing while the attempt is listed: so these are never
   // cleared.
   std::set<std::pair<TaskId, std::uint64_t>> direct;
@@ -81,30 +81,30 @@
   bool recorded = false;      // named, with its address, by a durable record
   std::string recorded_addr;  // as that record has it
   bool free_resources_known =
-      false;  // `free_resources` is what the tasks, reservations and unknown_tasks leave
+      false;  // `free_resources` is what the tasks, reservations and unknown tasks leave
   Resources free_resources;
 
   std::set<JobId> error_jobs;  // jobs that failed here since the last success
   int errors = 0;
   int undelivered = 0;                  // commands in a row that newer heartbeats show were never taken
   int unproven_answers = 0;             // answers in a row after which it still does not show the term
-  double last_probe_at = -1e9;          // last direct command or question
+  double last_probe_at = -1e9;          // last direct command or probe
   int open_probes = 0;                  // of them, how many are open
   int probe_failures = 0;               // in a row
-  std::uint64_t agent_epoch_guess = 1;  // for a question to a machine that has proved nothing yet
+  std::uint64_t agent_epoch_guess = 1;  // for a probe to a machine that has proved nothing yet
   bool agent_reset = false;  // its counters went back: only the cloud's answer settles what was on it
-  bool offered = false;      // its free free_resources was offered to the waiting gangs since it last grew
+  bool offered = false;      // its free capacity was offered to the waiting gangs since it last grew
   bool cordoned = false;     // takes nothing new
-  // What its time went into, in context seconds: for the log line at its end.
+  // What its time went into, in core seconds: for the log line at its end.
   double useful = 0, lost = 0, fetching = 0;
-  bool draining = false;  // takes no new array tasks: more free_resources than needed
+  bool draining = false;  // takes no new array tasks: more capacity than needed
   double idle_since = 0;
-  std::optional<JobId> reserved_by;  // free_resources being emptied for this gang
+  std::optional<JobId> reserved_by;  // capacity being emptied for this gang
   double reserved_until = 0;
   std::map<std::string, double> images;  // image -> last use
 };
 
-// Machines stand in durable records in groups, so that one change covers a whole provisioning.
+// Machines stand in durable records in groups, so that one change covers a whole provisioning request.
 struct MachineGroup {
   std::uint64_t mod_revision = 0;  // 0: there is no such record
   bool writing = false;
--- a/src/bookkeeping/machine_records.cpp
+++ b/src/bookkeeping/machine_records.cpp
@@ -81,8 +81,8 @@
   }
 }
 
-// The one that took the last machine, so that a provisioning stands in few records; else one that is half
-// empty.
+// The one that took the last machine, so that a provisioning request stands in few records; else one that is
+// half empty.
 std::string MachineLedger::record_with_space(std::size_t bytes) {
   if (const auto open = groups_.find(open_record_);
       open != groups_.end() && bytes_of(open->second) + bytes <= record_limit_)
@@ -204,7 +204,7 @@
     machine.type = word(2);
     machine.zone = word(3);
     machine.spot = (*fields)[4].get_bool();
-    // Without an address it had not sent_heartbeat when the record was written, and nothing was launched
+    // Without an address it had not sent a heartbeat when the record was written, and nothing was launched
     // there.
     machine.unreconciled = !machine.addr.empty();
     machine.recorded = machine.unreconciled && !machine.unanswered_since_ms;
--- a/src/bookkeeping/quota.hpp
+++ b/src/bookkeeping/quota.hpp
@@ -1,5 +1,5 @@
-// What each team's tasks use, or could use, of its limits: running books, changed with each run, hold and
-// unknown_task.
+// What each team's tasks use, or could use, of its limits: running accounts, changed with each run,
+// reservation and unknown task.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
     used_.clear();
     unreconciled_.clear();
   }
-  // Another one that is asked before each placement and announced of each charge. May be null.
+  // Another one that is asked before each placement and told of each charge. May be null.
   void set_guard(LaunchGuard* guard) { guard_ = guard; }
   // The guard's other source of capacity promised it to the job.
   bool granted(protocol::JobId job) const { return guard_ != nullptr && guard_->granted(job); }
@@ -44,7 +44,7 @@
   double left(const std::string& team) const;  // cpus up to the limit
   double share_used(const std::string& team, double share) const;
 
-  // What the running books ought to say of runs, reservations and unknown_tasks: for tests.
+  // What the running accounts ought to say of runs, reservations and unknown tasks: for tests.
   std::map<std::string, Usage> recount(JobLedger& jobs, MachineLedger& machines) const;
   const std::map<std::string, Usage>& running() const { return used_; }
 
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -20,7 +20,7 @@
 
 struct WriteOp {
   std::string key;
-  std::uint64_t expect = 0;                  // mod_revision that the key must have; 0: the key must not exist
+  std::uint64_t expect = 0;                  // mod revision that the key must have; 0: the key must not exist
   std::optional<boost::json::object> value;  // nothing: delete the key
   bool compare_only = false;                 // a condition, no change
 };
@@ -42,7 +42,7 @@
  public:
   TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random);
 
-  // While a guard is set, each transaction also demands that the leader key still has this mod_revision.
+  // While a guard is set, each transaction also demands that the leader key still has this mod revision.
   void set_guard(std::string key, std::uint64_t mod_revision, std::function<void()> lost);
   void clear_guard();
 
@@ -50,7 +50,7 @@
   // Sends what budget and limits allow.
   void pump(double now);
   std::size_t waiting() const { return queue_.size() + in_flight_; }
-  // A degraded writes nothing: units stay queued meanwhile.
+  // A degraded leader writes nothing: units stay queued meanwhile.
   void set_paused(bool paused) { paused_ = paused; }
 
  private:
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -9,27 +9,27 @@
 
 // ---- clocks and amounts ----
 inline constexpr double kClockDrift = 0.0005;    // ratio: the protocol's bound on steady clocks (0.05%)
-inline constexpr double kTickS = 0.05;           // s: how often timers of the context are looked at
+inline constexpr double kTickS = 0.05;           // s: how often timers of the core are looked at
 inline constexpr double kLeaseMarginS = 0.25;    // s: scheduling delay added to every lease reckoning
 inline constexpr double kAmountRounding = 1e-6;  // amounts are decimal numbers
 
 // ---- leadership ----
 inline constexpr std::int64_t kLeaderTtlMs =
-    2500;                                    // ms: lease of the leader key; short, since it bounds a takeover
+    2500;                                    // ms: lease of the leader key; short, since it bounds a failover
 inline constexpr double kRenewEveryS = 0.6;  // s: four renewals per lease survive a slow answer or two
 inline constexpr double kRenewTimeoutS = 1.0;    // s: a renewal without an answer by then is tried again
 inline constexpr double kValidityMarginS = 0.3;  // s: taken off the leader's own reckoning of its lease
 inline constexpr double kDegradedBoundS =
     90.0;  // s: after its last renewal a leader answers no heartbeat any more
 inline constexpr double kCancellationMarginS =
-    1.5;  // s: what is announced on its way, ticks, and a worker's own steps
-inline constexpr double kLeastAnswerS = 6.0;  // s between a lease and a cancellation, below which the books
-                                              // may not lag at all: they do by 2 s or so
+    1.5;                                      // s: what is told on its way, ticks, and a worker's own steps
+inline constexpr double kLeastAnswerS = 6.0;  // s between a lease and a cancellation, below which the
+                                              // in-memory state may not lag at all: they do by 2 s or so
 inline constexpr double kStrictAnswerS =
-    45.0;  // s: the degraded's bound there, since cancellations wait for it; well below 75 s
+    45.0;  // s: the degraded leader's bound there, since cancellations wait for it; well below 75 s
 inline constexpr double kInMemoryStateFreshS =
-    2.0;  // s for which a member's answered question lets a leader's books
-          // speak for it: two heartbeats and a delay
+    2.0;  // s for which a member's answered probe lets a leader's in-memory state speak for it: two
+          // heartbeats and a delay
 inline constexpr double kChangeLogEveryS = 1.0;  // s between two looks at what other controllers wrote
 inline constexpr double kChangeLogCalls = 10;    // ...or so many calls that the state service grants
 inline constexpr std::size_t kAnnouncedKept =
@@ -39,7 +39,7 @@
     0.5;  // of the time a cancellation has, after which a machine that has not shown it is given back...
 inline constexpr double kOverdueLeadS = 10.0;  // s: ...but so long before its end, for the cloud's answer
 inline constexpr double kOverdueLastS =
-    5.0;  // s before its end at the latest, where a new leader gives machines time to heartbeat
+    5.0;  // s before its end at the latest, where a new leader gives machines time to send a heartbeat
 inline constexpr double kClaimJitterS = 0.12;  // s: random wait before a claim, so that claims rarely collide
 inline constexpr double kClaimRetryS = 0.4;    // s: pause after a failed claim
 inline constexpr double kWatchWaitS = 10.0;    // s: how long one watch is left open
@@ -68,8 +68,8 @@
 inline constexpr std::size_t kValueSlackBytes = 128;  // bytes kept free below the service's limit for a
                                                       // value: the writer's mark, the mark of a cancellation
 
-inline constexpr std::size_t kMachinesLeast =
-    4000;  // machines that every bound on their heartbeats leaves room for, however little memory there is
+inline constexpr std::size_t kMachinesLeast = 4000;  // machines that every bound on their heartbeats leaves
+                                                     // room for, however little memory there is
 
 // ---- transport ----
 inline constexpr std::size_t kBodyMax =
@@ -78,7 +78,7 @@
     std::size_t{8} * 1024;  // bytes of header fields taken from a client
 inline constexpr std::size_t kClientBodyMax =
     4u << 20;                                 // bytes of an answer read from the state service or cloud
-inline constexpr double kServerIdleS = 30.0;  // s: a unresponsive client connection is closed
+inline constexpr double kServerIdleS = 30.0;  // s: an unresponsive client connection is closed
 inline constexpr double kServerReadS = 8.0;   // s: a request must be complete by then, once begun
 inline constexpr double kServerWriteS = 8.0;  // s: a client that does not read its answer is dropped
 inline constexpr double kConnectS = 1.0;      // s: a machine without power never refuses a connection
@@ -103,7 +103,7 @@
 inline constexpr double kForwardPerMb =
     16;  // forwarded requests in flight a MB of memory before new ones get 503
 inline constexpr double kDirectHeartbeatsPerCore =
-    500;  // heartbeats a second, for each context of the quota, that a leader takes itself
+    500;  // heartbeats a second, for each core of the quota, that a leader takes itself
 inline constexpr std::size_t kBatchBytes =
     std::size_t{32} * 1024;  // bytes for another controller that are sent without waiting for the tick
 inline constexpr double kParkS = 2.5;       // s a heartbeat waits for a leader: its worker gives up after 4 s
@@ -131,7 +131,7 @@
 inline constexpr std::size_t kDependenciesMost =
     64;  // jobs that one job may name: their ids take 1.6 KB at most, below the smallest value limit known
 inline constexpr std::size_t kDependencyWalkMost =
-    256;  // records that one question about a waiting job may read, before it gets 503
+    256;  // records that one probe about a waiting job may read, before it gets 503
 inline constexpr std::size_t kDependencyReads = 16;  // reads of dependencies that a leader has open at once
 inline constexpr double kInheritEveryS = 1.0;        // s between two reckonings of what jobs inherit
 
@@ -142,7 +142,7 @@
 
 // ---- heartbeats and reservations ----
 inline constexpr double kReservationHeartbeats =
-    3.0;  // heartbeat intervals after which a hold lapses (the design's)
+    3.0;  // heartbeat intervals after which a reservation expires (the design's)
 inline constexpr double kHeartbeatJitter = 1.25;  // the longest heartbeat interval over the nominal one
 inline constexpr double kRoundSlackS =
     1.5;  // s: for workers whose controller went: retry after 1 s, and a little
@@ -165,28 +165,29 @@
 inline constexpr double kRecordTidyS = 3.0;  // s: between two writings of a record that is only outdated
 inline constexpr int kUnprovenMost = 4;      // answers with our token after which a worker should show it
 inline constexpr int kUndeliveredMost =
-    2;                                   // commands that a machine did not take before it is asked directly
-inline constexpr int kProbesEnough = 2;  // unanswered questions after which a machine counts as unresponsive
-inline constexpr double kEarlyPerMb = 40;        // heartbeats kept a MB of memory while the ledger is read
+    2;                                     // commands that a machine did not take before it is asked directly
+inline constexpr int kProbesEnough = 2;    // unanswered probes after which a machine counts as unresponsive
+inline constexpr double kEarlyPerMb = 40;  // heartbeats kept a MB of memory while the ledger is read
 inline constexpr double kLoadRetryS = 0.3;       // s between tries to read the ledger
 inline constexpr double kUnknownBackoffS = 2.0;  // s: the worker did not know the job yet
-inline constexpr double kInsufficientResourcesBackoffS = 1.0;  // s: our picture of a machine's room was wrong
+inline constexpr double kInsufficientResourcesBackoffS =
+    1.0;  // s: our picture of a machine's capacity was wrong
 inline constexpr double kNobodyYetS =
-    2.0;  // s that a leader with no machine on record waits for any to heartbeat
+    2.0;  // s that a leader with no machine on record waits for any to send a heartbeat
 inline constexpr double kReconcileCheckS = 0.2;  // s between two looks at whether the round is full
 inline constexpr double kUnansweredLeaseShare =
-    0.75;  // of a lease, after which a unresponsive machine is put on record as not answered any more
+    0.75;  // of a lease, after which an unresponsive machine is put on record as not answered any more
 inline constexpr double kWatchEveryS = 0.25;  // s between two looks at unresponsive machines
 inline constexpr double kSweepEveryS = 0.2;  // s between two looks at jobs that end or have progress to write
 inline constexpr double kLogWaitsEveryS = 1.0;      // s between two lines of why a job waits
-inline constexpr double kSuspectProbeEveryS = 2.0;  // s between two questions to a doubtful machine
+inline constexpr double kSuspectProbeEveryS = 2.0;  // s between two probes to a doubtful machine
 
 // ---- direct commands ----
 inline constexpr double kDirectWaitShare =
     0.25;  // share of the shortest expected start above which two heartbeats are too long
 inline constexpr double kDirectDefaultWaitS =
     20.0;  // s: the shortest expected start where no aim names a shorter one
-inline constexpr double kDirectPerCore = 800;  // direct calls a second for each context of the quota
+inline constexpr double kDirectPerCore = 800;  // direct calls a second for each core of the quota
 inline constexpr double kDirectLeast = 5;      // a second, in any case
 inline constexpr int kDirectSocketPart = 8;    // one socket in so many may be a direct call
 inline constexpr std::size_t kDirectListMax =
@@ -196,13 +197,13 @@
 inline constexpr std::uint64_t kAttemptBits = 24;  // attempts are term << 24 | counter: never used twice
 inline constexpr std::size_t kCommandsMax = 200;   // commands in one answer: stays far below 64 KiB
 inline constexpr double kUnreachableShareMax =
-    0.05;  // above this share of deaf machines the fault is on our side
-inline constexpr std::size_t kUnreachableLeast = 3;  // as many may always be set aside
+    0.05;  // above this share of unreachable machines the fault is on our side
+inline constexpr std::size_t kUnreachableLeast = 3;  // as many may always be cordoned
 inline constexpr double kUnreachableHeartbeatS =
-    6;  // s: a worker that hears no answer heartbeats again 5 s later, elsewhere
+    6;  // s: a worker that hears no answer sends another heartbeat 5 s later, elsewhere
 inline constexpr double kShowTokenS =
-    1.0;  // s: a worker that heard a higher token heartbeats again within half a second
-inline constexpr int kProbesMost = 3;  // questions to a machine of an earlier leader that stays unresponsive
+    1.0;  // s: a worker that heard a higher token sends another heartbeat within half a second
+inline constexpr int kProbesMost = 3;  // probes to a machine of an earlier leader that stays unresponsive
 inline constexpr double kProbeAgainS = 0.5;  // s between them
 inline constexpr int kOpenMost = 2;          // direct calls to one machine at a time
 
@@ -210,7 +211,7 @@
 inline constexpr double kBackoffFirstS = 2.0;    // s: after a job's first failure
 inline constexpr double kBackoffMaxS = 60.0;     // s: a job that fails everywhere is tried this rarely
 inline constexpr int kJobSuspectMachines = 3;    // machines on which a job failed before it is tried narrowly
-inline constexpr int kMachineSuspectErrors = 2;  // failed jobs in a row before a machine is set aside
+inline constexpr int kMachineSuspectErrors = 2;  // failed jobs in a row before a machine is cordoned
 inline constexpr double kAvoidS = 120.0;         // s: a job stays away from a machine where it failed
 inline constexpr double kUnresponsiveHeartbeats =
     4.0;  // heartbeat intervals of silence before a machine is doubted...
@@ -260,15 +261,16 @@
 inline constexpr double kFleetStepS = 0.5;       // s between two looks at what the cloud should be asked
 inline constexpr double kNeedFallS = 15;  // s: time constant with which the reckoned need for cores falls
 inline constexpr double kNeedLeast = 2;   // cores: a rest of a fallen need that counts as none
-inline constexpr double kOverpricedRatio = 1.3;  // times the price a context of what is offered: dearer room
+inline constexpr double kOverpricedRatio = 1.3;  // times the price a core of what is offered: dearer capacity
                                                  // is replaced; spot prices move by a third
-inline constexpr double kWorthBoots = 1;  // boot times of work that a machine rented for a backlog must find
+inline constexpr double kWorthBoots =
+    1;  // boot times of work that a machine provisioned for a backlog must find
 inline constexpr double kLastTasksRuns =
     0.5;                                  // runs before the end at which the last tasks should be under way
-inline constexpr double kTightBoots = 2;  // boots within which work is due whose room should stay
+inline constexpr double kTightBoots = 2;  // boots within which work is due whose capacity should stay
 inline constexpr double kLateWindowRuns = 3;  // run times over which late work is spread
 inline constexpr double kProvisionRetryS =
-    1.0;                                   // s before an unanswered provisioning is repeated under its name
+    1.0;  // s before an unanswered provisioning request is repeated under its name
 inline constexpr double kGoneKeptS = 900;  // s that a returned machine's name is kept, against late messages
 
 // ---- policy scripts ----
@@ -284,7 +286,7 @@
 inline constexpr double kWriteRetryS = 0.2;  // s after a refusal or a missing answer
 
 // ---- placing ----
-inline constexpr double kReserveS = 8.0;          // s that room being emptied is kept for its gang
+inline constexpr double kReserveS = 8.0;          // s that capacity being emptied is kept for its gang
 inline constexpr double kDefaultAllowedRuns = 2;  // an array without any aim may take this many run times
 inline constexpr double kPaceShare = 0.85;   // of a pace, since fetches, stops and changes of task take time
 inline constexpr double kTiersEveryS = 1.0;  // s between two sortings of the late
@@ -292,21 +294,21 @@
     0.7;  // of a run: the last tasks of a job overlap with other jobs' first
 inline constexpr std::size_t kRecentArrays = 256;  // arrivals kept to tell the load
 inline constexpr double kReadyBoots =
-    2;  // work due within this many boots needs its room ready when it comes
-inline constexpr double kReadyLeast = 0.7;  // share of a steady load that room is kept for in any case
+    2;  // work due within this many boots needs its capacity ready when it comes
+inline constexpr double kReadyLeast = 0.7;  // share of a steady load that capacity is kept for in any case
 inline constexpr double kLoadWindowS = 90;  // s of arrivals that the load is reckoned from
 inline constexpr std::size_t kRecentGangs =
     512;  // arrivals kept to tell which machines gangs want, and their rate over its window
 inline constexpr std::uint32_t kFillingGangTasks =
     3;  // tasks of a gang that a machine takes at most, for machines to be kept ready for such gangs
 inline constexpr double kClaimAfterS =
-    40;                                // s that a gang waits before it keeps others from the room it needs
+    40;  // s that a gang waits before it keeps others from the capacity it needs
 inline constexpr int kClaimsMost = 8;  // gangs that do so in one round
 inline constexpr double kArrayLongestWaitS =
     100;  // s after which an array of which nothing ran goes before all others
 inline constexpr double kQueuesEveryS = 0.25;  // s between two sortings of the queues
-inline constexpr double kSurveyEveryS = 0.5;   // s between two counts of the fleet's room
-inline constexpr double kPreemptEveryS = 1.0;  // s between two searches for room to empty, for one gang
+inline constexpr double kSurveyEveryS = 0.5;   // s between two counts of the fleet's capacity
+inline constexpr double kPreemptEveryS = 1.0;  // s between two searches for capacity to free, for one gang
 inline constexpr int kPreemptsMost = 4;        // such searches in one round
 inline constexpr double kSuitsS = 1.0;         // s for which the kinds that suit gangs are remembered
 
--- a/src/coordination/array_placement.cpp
+++ b/src/coordination/array_placement.cpp
@@ -53,7 +53,7 @@
          zone_allowed(job.spec, zones_of(context_, job, unknown_task_machines_), machine.zone);
 }
 
-// Arrays go into the free that the machine's own heartbeat shows, in the order of the teams' queues.
+// Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
 std::uint32_t Scheduler::fill(Machine& machine) {
   const double now = context_.now.steady;
   if (!takes_work(context_, machine) || machine.draining) return 0;
@@ -61,11 +61,11 @@
   if (queues_dirty_ && now >= next_queues_) sort_queues();
   if (queues_.empty() || free_resources(context_, machine).cpus <= 0) return 0;
   if (now >= next_survey_) survey();
-  // Resources that just came free is the waiting gangs' first: arrays that took it would be stopped again at
+  // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
   // once.
   if (!machine.offered && !waiting_gangs_.empty() && suits_gangs(machine)) return 0;
-  // Machines that should be filled before this one have free for all that waits: they heartbeat as well,
-  // before long.
+  // Machines that should be filled before this one have capacity for all that waits: they send heartbeats as
+  // well, before long.
   if (survey_.better[capacity_class(machine)] > survey_.array_demand) return 0;
   struct Turn {
     std::vector<Job*>* queue;
@@ -98,7 +98,7 @@
     free.take(job.spec);
     survey_.array_demand -= job.spec.cpus;
     ++placed;
-    // The free is smaller now, and the team's share larger.
+    // The capacity is smaller now, and the team's share larger.
     const auto at = static_cast<std::size_t>(best - turns.begin());
     for (std::size_t i = turns.size(); i-- > 0;)
       if ((i == at || !free.fits((*turns[i].queue)[turns[i].at]->spec)) && !next(turns[i]))
--- a/src/coordination/boot_times.hpp
+++ b/src/coordination/boot_times.hpp
@@ -12,8 +12,8 @@
 class BootTimes {
  public:
   void record(const std::string& type, double seconds);
-  // Seconds after its provisioning from which a machine is not counted on any more, and a replacement is
-  // rented.
+  // Seconds after its provisioning request from which a machine is not counted on any more, and a replacement
+  // is provisioned.
   double late_after(const protocol::MachineType& type) const;
 
  private:
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/cancellations.cpp
@@ -11,7 +11,7 @@
 using protocol::PeerMessage;
 
 namespace {
-// A probe is the steady moment of its sending; the open_probes process reads it back from the echo.
+// A probe is the steady moment of its sending; the asking process reads it back from the echo.
 std::uint64_t probe_time(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * 1000)); }
 double probe_sent_at(std::uint64_t probe) { return static_cast<double>(probe) / 1000; }
 }  // namespace
@@ -89,8 +89,8 @@
 Cancellations::Peer& Cancellations::peer_of(const PeerMessage& message) {
   Peer& peer = peers_.at(message.member);
   if (peer.incarnation != message.incarnation) {
-    // What its earlier process announced in its last moments is not known from it: the state service has to
-    // show it.
+    // What its earlier process told in its last moments is not known from it: the state service has to show
+    // it.
     const double known_at = peer.known_at, echoed_at = peer.echoed_at;
     peer = Peer{};
     peer.echoed_at = echoed_at;
@@ -155,8 +155,8 @@
 
 void Cancellations::renewed(double sent) {
   state_known_ = std::max(state_known_, std::min(read_at_, sent));
-  // The leader key was ours when the notices were read: nobody else can have made a withdrawal durable
-  // without one. What a member had announced before that stands in what was read.
+  // The leader key was ours when the change-log entries were read: nobody else can have made a cancellation
+  // durable without one. What a member had told before that stands in what was read.
   if (!read_ || sent < read_->at) return;
   for (const auto& [member, announced] : read_->counts) {
     Peer& peer = peers_.at(member);
--- a/src/coordination/change_log.hpp
+++ b/src/coordination/change_log.hpp
@@ -1,5 +1,5 @@
 // The change log: what controllers other than the leader wrote about jobs, one entry for each change, in the
-// state service. An entry stands in the same transaction as the change that it heartbeats. Only the leader
+// state service. An entry stands in the same transaction as the change that it records. Only the leader
 // deletes entries, after it has acted on them.
 #pragma once
 
@@ -59,7 +59,8 @@
   double read_began_ = 0;               // s, steady
   std::vector<Done> waiting_for_next_;  // requests that came after the open read began
   std::vector<Done> waiting_for_open_;
-  std::vector<std::pair<std::string, std::uint64_t>> uncollected_;  // keys and stamps still to be deleted
+  std::vector<std::pair<std::string, std::uint64_t>>
+      uncollected_;  // keys and mod revisions still to be deleted
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -102,8 +102,8 @@
   std::size_t changes_waiting_ = 0;  // submissions and cancellations in progress, the same way
   std::size_t parked_ = 0, forwarded_ = 0;
   std::map<std::string, std::string> batches_;  // frames being filled, by member
-  // What the leader last_contact last of the machines that heartbeat here: a heartbeat that changes nothing
-  // is a few bytes.
+  // What the leader heard last of the machines that send their heartbeats here: a heartbeat that changes
+  // nothing is a few bytes.
   struct LastHeartbeat {
     std::string leader;
     std::uint64_t term = 0, agent_epoch = 0, seq = 0;
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -1,4 +1,5 @@
-// What the parts of one controller share: books, clients, the present moment and the actions of this step.
+// What the parts of one controller share: in-memory state, clients, the present moment and the actions of
+// this step.
 #pragma once
 
 #include <algorithm>
@@ -51,7 +52,7 @@
   Cancellations cancellations;
   BootTimes boots;
   Metrics metrics;
-  // LastHeartbeat when a job's final state is durable.
+  // Told when a job's final state is durable.
   std::function<void(protocol::JobId, bookkeeping::FinalState)> job_over;
   std::map<std::string, protocol::MachineType> types;  // the catalog; empty: not known yet
 
--- a/src/coordination/demand.cpp
+++ b/src/coordination/demand.cpp
@@ -96,7 +96,7 @@
   return kept_for_gangs(machine) && !has_gang(machine) ? 2 : 1;
 }
 
-// The fleet's free at a glance, so that no heartbeat has to look at all machines.
+// The fleet's capacity at a glance, so that no heartbeat has to look at all machines.
 void Scheduler::survey() {
   next_survey_ = context_.now.steady + c::kSurveyEveryS;
   survey_ = {};
--- a/src/coordination/direct.cpp
+++ b/src/coordination/direct.cpp
@@ -1,4 +1,4 @@
-// Commands and questions that go straight to workers: stops, questions of a new leader, and launches where
+// Commands and probes that go straight to workers: stops, probes of a new leader, and launches where
 // heartbeats are far apart. docs/design.md argues why a launch that comes late, twice or never does no harm.
 #include <spdlog/spdlog.h>
 
@@ -54,8 +54,8 @@
   if (heartbeat == nullptr || (status != 200 && status != 409) || heartbeat->machine != machine->name) {
     ++machine->probe_failures;
     if (machine->unreconciled && machine->probe_failures < c::kProbesMost) to_probe_.push_back(machine->name);
-    // Its heartbeats come, and neither answers nor commands get there: it is deaf. Should that seem true of
-    // many, the fault is ours.
+    // Its heartbeats come, and neither answers nor commands get there: it is unreachable. Should that seem
+    // true of many, the fault is ours.
     const bool suspect =
         (machine->undelivered >= c::kUndeliveredMost || machine->unproven_answers >= c::kUnprovenMost) &&
         now - machine->last_heartbeat <
@@ -67,9 +67,9 @@
                    c::kUnreachableLeast +
                        static_cast<std::size_t>(c::kUnreachableShareMax * context_.machines.all().size())) {
       ++unreachable_;
-      cordon(*machine, "it reports, and hears nothing");
+      cordon(*machine, "unreachable: its heartbeats arrive, answers and commands do not");
     }
-    // A gang must not wait for the room of a machine that does not answer.
+    // A gang must not wait for the capacity of a machine that does not answer.
     const auto reserving_jobs = machine->reservations;
     for (const auto holder : reserving_jobs) {
       Job* job = context_.jobs.find(holder);
@@ -88,15 +88,15 @@
   const bool went_back = machine->saw_term && std::tie(heartbeat->agent_epoch, heartbeat->seq) <
                                                   std::tie(open.known_agent_epoch, open.known_seq);
   if (went_back) {
-    // Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent_epoch
+    // Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent epoch
     // of the same number may still come. The cloud settles that.
     machine->agent_reset = true;
-    spdlog::info("machine {} was born again and is given back", machine->name);
+    spdlog::info("machine {}: its agent was reset, the machine is returned", machine->name);
     MachineLedger::set_state(*machine, MachineState::kReturning);
     return;
   }
   if (status == 409 && heartbeat->fencing_token < election_.term()) {
-    // Its agent_epoch was not the one we guessed, and it did not learn our token: once more.
+    // Its agent epoch was not the one we guessed, and it did not learn our token: once more.
     if (machine->probe_failures == 0 && heartbeat->agent_epoch != open.agent_epoch) probe(*machine);
     return;
   }
@@ -110,8 +110,8 @@
       check_gang(*job);
 }
 
-// The full round after a takeover does not wait for the workers: those of earlier leaders are asked, and
-// learn our token by the question itself, also where a degraded still answers their heartbeats.
+// The full round after a failover does not wait for the workers: those of earlier leaders are asked, and
+// learn our token by the probe itself, also where a degraded leader still answers their heartbeats.
 void Scheduler::probe_unreconciled() {
   for (std::size_t left = to_probe_.size(); left > 0 && probe_budget_.covers(1) && can_send_direct();
        --left) {
@@ -119,7 +119,7 @@
     to_probe_.pop_front();
     Machine* machine = context_.machines.find(name);
     if (machine == nullptr || !machine->unreconciled) continue;
-    // One that was just answered with our token heartbeats again by itself, to show it.
+    // One that was just answered with our token sends another heartbeat by itself, to show it.
     if (machine->open_probes > 0 || context_.now.steady - machine->last_probe_at < c::kProbeAgainS ||
         (machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kShowTokenS)) {
       to_probe_.push_back(name);
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -41,15 +41,15 @@
 const char* to_text(Role role) {
   switch (role) {
     case Role::kDiscovering:
-      return "looking";
+      return "discovering";
     case Role::kFollowing:
       return "following";
     case Role::kCampaigning:
-      return "claiming";
+      return "campaigning";
     case Role::kLeading:
       return "leading";
     case Role::kDegraded:
-      return "caretaker";
+      return "degraded";
   }
   return "?";
 }
@@ -101,7 +101,7 @@
       [[fallthrough]];
     case Role::kDegraded:
       if (!owns_fencing_token()) {
-        step_down("the caretaker's bound is reached");
+        step_down("the degraded leader's bound is reached");
         break;
       }
       if (now >= next_try_) renew();
@@ -322,7 +322,7 @@
 }
 
 bool Election::may_announce_cancellation(protocol::JobId id) const {
-  // The leader's books know it. Its former leader's do not matter: they are not valid any more.
+  // The leader's in-memory state knows it. Its former leader's do not matter: they are not valid any more.
   if (valid()) return !context_.cancellations.strict() || context_.now.steady >= former_leaders_stopped_at();
   return !context_.cancellations.strict() &&
          context_.cancellations.acknowledged_by_all(id, context_.now.steady);
@@ -351,7 +351,7 @@
   context_.state.call(StateClient::Urgency::kLease, "DELETE",
                       std::string(n::kPathLeases) + "/" + std::to_string(lease_), "", 0, c::kRenewTimeoutS,
                       [](const CallResult&) {});
-  step_down("asked to end");
+  step_down("termination requested");
   next_try_ = context_.now.steady + 1e9;  // an ending process claims nothing
 }
 
@@ -373,7 +373,7 @@
 
 void Election::former_is_over(const char* how) {
   former_stopped_at_ = context_.now.steady;
-  spdlog::info("leadership: the former leader {} is over: {}", former_, how);
+  spdlog::info("leadership: the former leader {} has ended: {}", former_, how);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -1,4 +1,5 @@
-// Leadership: a key on a lease of the state service, a term that only grows, and the bound of a degraded.
+// Leadership: a key on a lease of the state service, a term that only grows, and the bound of a degraded
+// leader.
 #pragma once
 
 #include <functional>
@@ -13,7 +14,7 @@
   kDiscovering,  // reads who leads
   kFollowing,    // somebody leads; watches the key
   kCampaigning,  // takes a lease and writes the key
-  kLeading,      // reservations the key, lease valid
+  kLeading,      // holds the key, lease valid
   kDegraded,     // can't renew and can't know more: answers heartbeats, changes nothing
 };
 const char* to_text(Role role);
@@ -41,10 +42,10 @@
   // The token is ours, as far as can be known: commands may carry it. They renew no lease.
   bool owns_fencing_token() const;
   // May answer heartbeats with the token, which renews leases: only while every cancellation that any user
-  // was announced of is known here, or was announced so lately that the leases renewed now end in time.
+  // was told of is known here, or was told so lately that the leases renewed now end in time.
   bool answers() const;
-  // The cancellations announced while we could not lead are known, so that work may start: a job called off
-  // in an outage was started once more after it, before its notice was read.
+  // The cancellations told while we could not lead are known, so that work may start: a job called off in an
+  // outage was started once more after it, before its notice was read.
   bool caught_up() const;
   // Whether a user may hear now that a job is cancelled: all its tasks then end in time, whoever answers
   // heartbeats.
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -54,7 +54,7 @@
       scheduler_.phase() == LeaderPhase::kLoading)
     return;
   if (!election_.valid()) {
-    // A degraded returns nothing but what may reservation cancelled work: those users were promised that it
+    // A degraded leader returns nothing but what may hold cancelled work: those users were promised that it
     // ends.
     return return_machines([](const Machine& machine) {
       return machine.state == MachineState::kReturning && !machine.overdue.empty();
@@ -91,9 +91,9 @@
                 machine.spot = std::get<2>(pool);
                 machine.provisioned_at = context_.now.steady;
                 scheduler_.know_type(machine);
-                spdlog::info("machine {} ({} {}{}) rented", name, machine.type, machine.zone,
+                spdlog::info("machine {} ({} {}{}) provisioned", name, machine.type, machine.zone,
                              machine.spot ? " spot" : "");
-                context_.metrics.count("machines_rented");
+                context_.metrics.count("machines_provisioned");
               }
               if (names && static_cast<int>(names->size()) < found->count)
                 refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
@@ -104,12 +104,13 @@
               refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
               provisioning_requests_.erase(found);
             } else if (result.status == 400) {
-              spdlog::error("the cloud calls a rental of {} malformed", std::get<0>(pool));
+              spdlog::error("the cloud rejects a provisioning request for {} as malformed",
+                            std::get<0>(pool));
               refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
               provisioning_requests_.erase(found);
             } else {
               found->next_try =
-                  context_.now.steady + c::kProvisionRetryS;  // same name: nothing is rented twice
+                  context_.now.steady + c::kProvisionRetryS;  // same name: nothing is provisioned twice
             }
           });
     return;
@@ -211,7 +212,7 @@
   const double needed = std::max(array_cores_needed(), scheduler_.array_load(shortest_boot()));
   const double keep = needed_at_ > 0 ? std::exp(-(now - needed_at_) / c::kNeedFallS) : 0;
   needed_ = std::max(needed, needed + (needed_ - needed) * keep);
-  // What is left of a need that fell must not reservation the last machine for ever.
+  // What is left of a need that fell must not hold the last machine for ever.
   if (needed_ < needed + c::kNeedLeast) needed_ = needed;
   needed_at_ = now;
   auto fleet = forecast_fleet();
@@ -246,7 +247,7 @@
   provisioning.request = "r-" + std::to_string(election_.term()) + "-" + std::to_string(++request_counter_);
   provisioning.pool = pool;
   provisioning.count = count;
-  spdlog::info("renting {} x {} {}{}", count, std::get<0>(pool), std::get<1>(pool),
+  spdlog::info("provisioning {} x {} {}{}", count, std::get<0>(pool), std::get<1>(pool),
                std::get<2>(pool) ? " spot" : "");
   provisioning_requests_.push_back(std::move(provisioning));
 }
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -21,7 +21,7 @@
 
  private:
   using CapacityPool = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-  // Machines alike in kind and free resources, there or coming: counted together, so that thousands cost no
+  // Machines alike in kind and free capacity, there or coming: counted together, so that thousands cost no
   // more than a few.
   struct ForecastGroup {
     std::string type, zone;
@@ -48,7 +48,7 @@
   bool coming(const bookkeeping::Machine& machine) const;
   double price_per_core(const bookkeeping::Machine& machine) const;
   bool pool_open(const CapacityPool& pool) const;
-  // The cheapest open pool for tasks like this one, price for each task that fits.
+  // The cheapest open capacity pool for tasks like this one, price for each task that fits.
   std::optional<CapacityPool> cheapest(const protocol::JobSpec& spec,
                                        const std::map<CapacityPool, int>& wanted,
                                        const std::string& only_zone) const;
--- a/src/coordination/fleet_demand.cpp
+++ b/src/coordination/fleet_demand.cpp
@@ -62,7 +62,7 @@
         const CapacityPool pool{name, zone, spot};
         if (!kind_allowed(spec, name, zone, spot) || !pool_open(pool)) continue;
         const double price = (spot ? type.spot_price : type.price) / fit;
-        // A zone of which nothing is heard comes last: what boots there heartbeats to nobody.
+        // A zone of which nothing is heard comes last: what boots there has nobody to send heartbeats to.
         const bool out = zones_out_.contains(zone);
         // Equal prices: the zone with the fewest machines, so that one zone's trouble does not take all.
         int count = 0;
@@ -91,7 +91,7 @@
     if (used + spec.cpus * spec.tasks > team->cpus_max) continue;
     used += spec.cpus * spec.tasks;
     std::uint32_t left = spec.tasks;
-    // A one-zone gang is helped by resources in one zone only: where most of it is there or coming.
+    // A one-zone gang is helped by capacity in one zone only: where most of it is there or coming.
     std::string zone;
     if (spec.one_zone) {
       std::map<std::string, std::uint32_t> slots;
@@ -113,7 +113,7 @@
       const auto on_last = std::min(each, left - (used - 1) * each);
       fleet[i].count -= used;
       left -= (used - 1) * each + on_last;
-      // Resources that waiting gangs will take is none for arrays, also while it boots.
+      // Capacity that waiting gangs will take is none for arrays, also while it boots.
       gang_claim_ += ((used - 1) * each + on_last) * spec.cpus;
       // What the last of them has left; the others are taken as full.
       ForecastGroup rest = fleet[i];
@@ -150,8 +150,8 @@
   }
 }
 
-// One that is later than usual for its type is not waited for: another is rented for the work, and whichever
-// is not needed in the end goes back.
+// One that is later than usual for its type is not waited for: another is provisioned for the work, and
+// whichever is not needed in the end goes back.
 bool Fleet::coming(const Machine& machine) const {
   if (const auto type = context_.types.find(machine.type);
       type != context_.types.end() &&
@@ -188,10 +188,10 @@
   }
   for (const auto& [zone, count] : zones) {
     if (count.quiet >= c::kZoneOutLeast && count.quiet > count.fresh) {
-      if (!zones_out_.contains(zone)) spdlog::info("zone {} is out: nothing is rented there first", zone);
+      if (!zones_out_.contains(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
       zones_out_[zone] = now;
     } else if (count.fresh > 0 && zones_out_.erase(zone) > 0) {
-      spdlog::info("zone {} is heard again", zone);
+      spdlog::info("zone {} responds again", zone);
     }
   }
   std::erase_if(zones_out_, [&](const auto& entry) { return now - entry.second > c::kZoneOutS; });
@@ -219,8 +219,8 @@
     if (static_cast<int>(job->failed_on.size()) >= c::kJobSuspectMachines) continue;
     const double run = std::max(1.0, scheduler_.run_times().expected(*job));
     // The last task should begin a run before the end, so the work has to be under way in what is left. What
-    // has no resources yet has to be under way in what is left once a machine rented for it is up. Work that
-    // can't be in time any more has no end to meet: it takes what resources there is, at the pace of its
+    // has no capacity yet has to be under way in what is left once a machine provisioned for it is up. Work
+    // that can't be in time any more has no end to meet: it takes what capacity there is, at the pace of its
     // lateness so far.
     const auto pace = [&](double cores, double left, double runs_before) {
       const double window = left > run ? std::max(run, left - runs_before * run) : c::kLateWindowRuns * run;
@@ -229,7 +229,7 @@
     const double left = scheduler_.time_left(*job);
     const double waiting = pace(job->unplaced() * job->spec.cpus, left - boot, c::kLastTasksRuns);
     const double spread = std::max(pace(job->remaining() * job->spec.cpus, left, 1), waiting);
-    // Where all the time allowed is hardly longer than a boot, resources that is in use now will be wanted
+    // Where all the time allowed is hardly longer than a boot, capacity that is in use now will be wanted
     // again before a new machine would be up: it counts in full.
     const double allowed =
         std::max(1.0, left + std::max(0.0, (context_.now.wall_ms - job->submitted_ms) / 1000.0));
@@ -242,7 +242,7 @@
   return needed;
 }
 
-// ControllerContext seconds of array work that is accepted and not done.
+// Core seconds of array work that is accepted and not done.
 double Fleet::array_backlog() const {
   double work = 0;
   for (const auto& [id, job] : context_.jobs.all()) {
@@ -267,16 +267,16 @@
   if (typical == nullptr) return;
   const auto first = cheapest(typical->spec, wanted, "");
   if (!first) return;
-  // Resources that costs far more than what is to be had does not count: the cheaper is rented, and then the
-  // dearer winds down.
+  // Capacity that costs far more than what is to be had does not count: the cheaper is provisioned, and then
+  // the dearer is drained.
   const auto& [type, zone, spot] = *first;
   const auto& offered = context_.types.at(type);
   const double dear =
       overpriced_cores((spot ? offered.spot_price : offered.price) / offered.cpus * c::kOverpricedRatio);
-  // Waiting gangs take the dear resources first, as far as it goes.
+  // Waiting gangs take the dear capacity first, as far as it goes.
   const double have = have_ - std::max(dear, gang_claim_);
   if (needed_ <= have) return;
-  // A machine that is rented now helps only with what is left once it is up, and has to find work for at
+  // A machine that is provisioned now helps only with what is left once it is up, and has to find work for at
   // least as long as it booted. The load of steady arrivals will be there then; a backlog may be gone.
   const double boot = std::max(1.0, offered.boot_s);
   const double left = array_backlog() - have * boot;
@@ -286,14 +286,14 @@
     const auto pool = cheapest(typical->spec, wanted, "");
     if (!pool) return;
     const double cores = context_.types.at(std::get<0>(*pool)).cpus;
-    if (missing < cores / 2 && have > 0) return;  // less than half a machine waits for resources
+    if (missing < cores / 2 && have > 0) return;  // less than half a machine waits for capacity
     ++wanted[*pool];
     missing -= cores;
   }
 }
 
-// Array resources on machines without a gang that cost more a context than that. Beside a gang it costs
-// nothing more.
+// Array capacity on machines without a gang that cost more a core than that. Beside a gang it costs nothing
+// more.
 double Fleet::overpriced_cores(double price) const {
   double dear = 0;
   for (const auto& [name, machine] : context_.machines.all())
--- a/src/coordination/fleet_returns.cpp
+++ b/src/coordination/fleet_returns.cpp
@@ -22,7 +22,7 @@
   return (machine.spot ? found->second.spot_price : found->second.price) / std::max(1.0, machine.cpus);
 }
 
-// More resources than the arrays need: the dearest machines take no new array tasks, so that they empty and
+// More capacity than the arrays need: the dearest machines take no new array tasks, so that they empty and
 // can go.
 void Fleet::drain_surplus() {
   std::vector<Machine*> machines;
@@ -44,7 +44,7 @@
     const double cores = array_cores(*machine);
     if (have - cores < needed_) continue;
     // A machine with a gang stays anyway. Marked already now, it takes no arrays in the moment its gang ends:
-    // their tasks would reservation the dearest machines for as long as the longest of them runs.
+    // their tasks would hold the dearest machines for as long as the longest of them runs.
     if (scheduler_.has_gang(*machine)) {
       machine->draining = true;
       continue;
@@ -90,8 +90,8 @@
   // When many are unresponsive at once the network is the likelier cause, and returning them would cost all
   // their work.
   const bool network_fault = unresponsive > 2 && unresponsive > known * c::kUnresponsiveShareMax;
-  // A few machines that nobody hears of reservation up the work of earlier leaders; many are a network that
-  // will be back.
+  // A few machines that nobody hears of hold up the work of earlier leaders; many are a network that will be
+  // back.
   const bool few_unreconciled = scheduler_.unreconciled_machines() <=
                                 std::max<std::size_t>(c::kFewUnreconciled, known * c::kFewUnreconciledShare);
   // To keep an idle machine for as long as its successor would boot costs at most twice what hindsight would
@@ -118,14 +118,14 @@
              now - machine.provisioned_at > boot * c::kBootFactor + c::kBootSlackS)
       why = "it does not come up";
     else if (scheduler_.give_up(machine) && (!network_fault || machine.interruption_at))
-      why = "it is silent";
+      why = "it is unresponsive";
     else if (machine.unreconciled && scheduler_.phase() == LeaderPhase::kServing && few_unreconciled &&
              machine.probe_failures >= c::kProbesEnough)
-      why = "it stays silent since an earlier leader's time, and work waits for proof of what is on it";
+      why = "unresponsive since an earlier leader, and jobs wait for proof of what it runs";
     else if (machine.cordoned && (empty(machine) || !machine.saw_term))
-      why = "it was set aside";
+      why = "it was cordoned";
     if (why != nullptr) {
-      spdlog::info("machine {} is given back: {}", machine.name, why);
+      spdlog::info("machine {} is returned: {}", machine.name, why);
       MachineLedger::set_state(machine, MachineState::kReturning);
       continue;
     }
@@ -133,7 +133,7 @@
   }
   for (auto* machine : idle) {
     if (!machine->draining || now - machine->idle_since < idle_limit(*machine)) continue;
-    spdlog::info("machine {} is given back: idle", machine->name);
+    spdlog::info("machine {} is returned: idle", machine->name);
     MachineLedger::set_state(*machine, MachineState::kReturning);
   }
   return_machines([](const Machine& machine) { return machine.state == MachineState::kReturning; });
--- a/src/coordination/gang_placement.cpp
+++ b/src/coordination/gang_placement.cpp
@@ -43,7 +43,7 @@
         open.push_back({&machine, 0, 0});
   }
   int searches = 0, claims = 0;
-  std::vector<const JobSpec*> failed;  // what found no free in this round
+  std::vector<const JobSpec*> failed;  // what found no capacity in this round
   // The teams' shares move with each placement, so the next gang is chosen afresh after each.
   while (!queue.empty()) {
     const auto best = std::min_element(queue.begin(), queue.end());
@@ -121,7 +121,7 @@
     all += slots;
   }
   if (all < job.spec.tasks) return false;
-  // Extra reservations only where the team's limit and the free free allow them.
+  // Extra reservations only where the team's limit and the free capacity allow them.
   auto extra = static_cast<std::uint32_t>(std::floor(job.spec.tasks * context_.policy.overbook + 1e-9));
   while (extra > 0 && !context_.quota.allows(job.spec, job.spec.tasks + extra)) --extra;
   const auto spots =
--- a/src/coordination/gang_state.cpp
+++ b/src/coordination/gang_state.cpp
@@ -39,8 +39,8 @@
           job.reservations.begin(), job.reservations.end(),
           [&](const auto& reservation) { return !reservation.confirmed && now > reservation.expires_at; });
       if (!expired) return;
-      spdlog::info("gang {}: holds lapsed, queued again", name_of(job));
-      context_.metrics.count("holds_lapsed");
+      spdlog::info("gang {}: reservations expired, queued again", name_of(job));
+      context_.metrics.count("reservations_expired");
       release_reservations(job);
       JobLedger::set_gang(job, GangState::kQueued, now);
       return;
--- a/src/coordination/job_lookup.hpp
+++ b/src/coordination/job_lookup.hpp
@@ -1,4 +1,4 @@
-// What the durable records say of a job, read afresh. Any controller can probe, leader or not.
+// What the durable records say of a job, read afresh. Any controller can ask, leader or not.
 #pragma once
 
 #include <functional>
--- a/src/coordination/job_records.cpp
+++ b/src/coordination/job_records.cpp
@@ -96,10 +96,10 @@
       });
 }
 
-// By whatever way this controller learns of it: remembering the state alone once let the books go on with the
-// job. LastHeartbeat before its user is, so that no answer from these books is older than what the user
-// heard. A degraded stops the tasks too: their machines go on reporting to it. While the ledger is read,
-// loaded() does it.
+// By whatever way this controller learns of it: remembering the state alone once let the in-memory state go
+// on with the job. Told before its user is, so that no answer from this in-memory state is older than what
+// the user heard. A degraded leader stops the tasks too: their machines go on sending heartbeats to it. While
+// the ledger is read, loaded() does it.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
@@ -107,14 +107,14 @@
   if (phase_ != LeaderPhase::kReconciling && phase_ != LeaderPhase::kServing) return;
   Job* job = context_.jobs.find(id);
   if (job != nullptr) job_over(*job, FinalState::kCancelled);
-  // For the mod_revision of its record, which is deleted in the end.
+  // For the mod revision of its record, which is deleted in the end.
   if (!known || (job != nullptr && !job->marked)) read_job(id);
 }
 
 void Scheduler::read_job(JobId id) {
   // A read that is open may have been answered before the write that this call is about: then once more after
-  // it. A withdrawal announced of while the read of the admission was open was overlooked so, and its job
-  // went on as pending.
+  // it. A cancellation told of while the read of the admission was open was overlooked so, and its job went
+  // on as pending.
   if (const auto open = reading_.find(id); open != reading_.end()) {
     open->second = true;
     return;
@@ -152,7 +152,7 @@
           auto& slot = context_.jobs.all()[id];
           slot = std::move(fresh);
           if (slot->state == JobState::kOver) {
-            // Withdrawn before anything of it was placed.
+            // Cancelled before anything of it was placed.
             context_.jobs.remember_final(id, slot->final_state);
             return;
           }
@@ -182,7 +182,7 @@
   JobLedger::set_state(job, JobState::kOver);
   job.final_state = state;
   context_.jobs.remember_final(job.spec.id, state);
-  context_.metrics.count(state == FinalState::kDone ? "jobs_done" : "jobs_withdrawn");
+  context_.metrics.count(state == FinalState::kDone ? "jobs_done" : "jobs_cancelled");
   if (spdlog::should_log(spdlog::level::debug))
     spdlog::debug(
         "job {} ({}, {}) {} {:.1f} s after its submission, first task ran after {:.1f} s; {} tasks of {} "
@@ -263,7 +263,7 @@
     write_job(job);
 }
 
-// Whether a machine shows tasks of the job, or may still reservation some.
+// Whether a machine shows tasks of the job, or may still hold some.
 bool Scheduler::has_remaining_tasks(JobId id) {
   const bool strayed =
       std::any_of(unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
@@ -279,7 +279,7 @@
 }
 
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
-// what is cancelled stays for a next leader while a machine may still reservation it.
+// what is cancelled stays for a next leader while a machine may still hold it.
 void Scheduler::sweep_jobs() {
   for (const auto id : std::exchange(reread_, {})) read_job(id);
   std::vector<JobId> gone;
--- a/src/coordination/job_requests.cpp
+++ b/src/coordination/job_requests.cpp
@@ -39,7 +39,7 @@
 }
 
 UserAnswer JobRequests::state_answer(int status, const Job& job) const {
-  // Its end may be durable already, and another controller may have read and announced it: nothing older from
+  // Its end may be durable already, and another controller may have read and told it: nothing older from
   // here.
   if (job.state == JobState::kCompleting || job.state == JobState::kCancelling)
     return busy("its end is being written");
@@ -81,7 +81,7 @@
   const auto parsed = protocol::parse_job(body);
   if (!parsed.id) return reply(refuse(400, parsed.error));
   const JobId id = *parsed.id;
-  // A known job is answered before its description is checked again.
+  // A known job is answered before its description is judged again.
   if (const auto state = context_.jobs.final_state(id)) return reply(final_answer(id, *state));
   if (leading() && context_.jobs.find(id) != nullptr) return answer_live(id, std::move(reply));
   const auto checked = [this, id, reply](int status, const std::string& reason) {
@@ -258,10 +258,10 @@
   answer_from_records(id, std::move(reply));
 }
 
-// The leader's own state of the job is the answer, once no other controller can have announced a user
-// anything newer: at once while all of them are in touch, else after a read of the change log, which all
-// questions that wait share. One read of the record for each question exhausted the state service's limit as
-// soon as one controller was away.
+// The leader's own state of the job is the answer, once no other controller can have told a user anything
+// newer: at once while all of them are in touch, else after a read of the change log, which all questions
+// that wait share. One read of the record for each question exhausted the state service's limit as soon as
+// one controller was away.
 void JobRequests::answer_live(JobId id, Reply reply) {
   if (context_.cancellations.current(context_.now.steady)) return answer_from_memory(id, reply);
   scheduler_.change_log().after_fresh_read([this, id, reply = std::move(reply)](bool read) {
--- a/src/coordination/machine_liveness.cpp
+++ b/src/coordination/machine_liveness.cpp
@@ -25,9 +25,9 @@
     return context_.now.steady + (static_cast<double>(*machine.unanswered_since_ms - context_.now.wall_ms) +
                                   2 * context_.settings.clock_error_ms) /
                                      1000.0;
-  // A agent_epoch without an answered heartbeat has its lease from its beginning. A machine that reached no
-  // controller, and was given work by direct commands, was once taken for free of it while its newest
-  // agent_epoch still ran.
+  // An agent epoch without an answered heartbeat has its lease from its beginning. A machine that reached no
+  // controller, and was given work by direct commands, was once taken for free of it while its newest agent
+  // epoch still ran.
   double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
   if (!machine.saw_term) last = std::max(last, election_.former_leaders_stopped_at());
   return last;
@@ -74,10 +74,10 @@
     const bool late = std::any_of(machine.overdue.begin(), machine.overdue.end(),
                                   [&](const auto& entry) { return now >= entry.second; });
     if (late && machine.state != MachineState::kReturning && machine.state != MachineState::kGone) {
-      spdlog::info("machine {} is given back: it has not shown that withdrawn work is gone", name);
+      spdlog::info("machine {} is returned: no heartbeat shows that cancelled work is gone", name);
       MachineLedger::set_state(machine, MachineState::kReturning);
     }
-    // Launches sent straight to the machine that nobody answered: while its agent_epoch lasts they may still
+    // Launches sent straight to the machine that nobody answered: while its agent epoch lasts they may still
     // be carried out, and neither silence nor a lease that is over ends that. Only the cloud's word does.
     bool open_launch = false;
     if (!machine.direct.empty() && machine.state != MachineState::kGone) {
@@ -89,7 +89,7 @@
         open_launch = true;
         if (job->over() && now - run.launched_at > c::kUnansweredLaunchS &&
             machine.state != MachineState::kReturning) {
-          spdlog::info("machine {} is given back: a launch of withdrawn work may still reach it", name);
+          spdlog::info("machine {} is returned: a launch of cancelled work may still reach it", name);
           MachineLedger::set_state(machine, MachineState::kReturning);
         }
       }
@@ -101,7 +101,7 @@
         MachineLedger::set_state(machine, MachineState::kReturning);
         continue;
       }
-      spdlog::info("machine {}: its lease is surely over", name);
+      spdlog::info("machine {}: its lease has expired for certain", name);
       lose_tasks(machine, "the lease of its machine is over");
     }
   }
--- a/src/coordination/metrics.cpp
+++ b/src/coordination/metrics.cpp
@@ -13,8 +13,8 @@
     {Metrics::Spread::kGangWait, "gang_wait_seconds"},
     {Metrics::Spread::kArrayWait, "array_wait_seconds"},
     {Metrics::Spread::kRound, "round_seconds"},
-    {Metrics::Spread::kFailover, "takeover_seconds"},
-    {Metrics::Spread::kHeartbeatAnswer, "report_answer_seconds"},
+    {Metrics::Spread::kFailover, "failover_seconds"},
+    {Metrics::Spread::kHeartbeatAnswer, "heartbeat_answer_seconds"},
     {Metrics::Spread::kGrantWait, "grant_wait_seconds"}};
 }  // namespace
 
--- a/src/coordination/peer_messages.cpp
+++ b/src/coordination/peer_messages.cpp
@@ -79,7 +79,7 @@
         peer.leading = false;
         route(message.request);
       } else if (message.status == 409) {
-        // The leader's books stand on another heartbeat than we thought.
+        // The leader's in-memory state stands on another heartbeat than we thought.
         waiting->second.in_full = true;
         route(message.request);
       } else {
@@ -117,7 +117,7 @@
               context_.jobs.remember_final(*job, bookkeeping::FinalState::kDone);
             if (job && state->get_string() == n::kStateCancelled) {
               scheduler_.on_cancelled_elsewhere(*job);
-              announce_cancellation(*job);  // the leader may announce, and here it does
+              announce_cancellation(*job);  // the leader may tell, and here it does
             }
           }
         }
@@ -166,7 +166,7 @@
   carry_out_probe(probe);
 }
 
-// The question is our own, or another controller's, which then gets the answer.
+// The probe is our own, or another controller's, which then gets the answer.
 void Controller::carry_out_probe(const PeerMessage& probe) {
   const auto finish = [this, member = probe.member, id = probe.request](
                           int status, const protocol::Heartbeat* heartbeat) {
--- a/src/coordination/peer_versions.hpp
+++ b/src/coordination/peer_versions.hpp
@@ -30,7 +30,7 @@
  private:
   struct Member {
     std::uint64_t registered = 0;  // incarnation of the process that registered last
-    std::uint64_t present = 0;     // incarnation observe last; 0: none yet
+    std::uint64_t present = 0;     // incarnation heard last; 0: none yet
     bool quota_leases = false;     // of the registered process
   };
   void register_self();
--- a/src/coordination/placement.hpp
+++ b/src/coordination/placement.hpp
@@ -13,7 +13,7 @@
 
 using bookkeeping::Resources;
 
-// Capacity less every run, reservation and unknown_task on the machine: kept on the machine, counted anew
+// Capacity less every run, reservation and unknown task on the machine: kept on the machine, counted anew
 // when one of them changed.
 const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
 Resources count_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
@@ -21,7 +21,7 @@
 // Type, zone and kind, as the job's owner allows.
 bool kind_allowed(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
-// Up, heard of lately, not set aside, not about to be taken.
+// Up, heard of lately, not cordoned, not about to be taken.
 bool takes_work(const ControllerContext& context, const bookkeeping::Machine& machine);
 
 // The job's tasks by zone, old attempts and reservations included; tasks whose place is unknown count for
@@ -50,7 +50,7 @@
   bool warm = false;  // has the image
 };
 // Places for `needed` tasks and up to `extra` more; nothing when they don't all fit. Zones, then machines,
-// most free room first; a one-zone gang stays in one zone.
+// most free capacity first; a one-zone gang stays in one zone.
 std::optional<std::vector<Assignment>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
                                                 std::uint32_t needed, std::uint32_t extra, bool concentrate);
 
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -66,12 +66,12 @@
   send_stops();
 }
 
-// Resources for a gang is made from work of lower priority, fewest lost seconds first.
+// Capacity for a gang is made from work of lower priority, fewest lost seconds first.
 void Scheduler::preempt_for(Job& job) {
   const double now = context_.now.steady;
   for (const auto& [name, machine] : context_.machines.all())
     if (machine.reserved_by == job.spec.id && now < machine.reserved_until)
-      return;  // free is being made already
+      return;  // capacity is being made already
   struct Victim {
     TaskId task;
     double lost;
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/queue_order.cpp
@@ -75,7 +75,7 @@
     teams[job->spec.team].push_back({job.get(), left, left + (left + age) * 0.5,
                                      job->remaining() * job->spec.cpus * run_times_.expected(*job)});
   }
-  // The pace that a team can hope for: its limit less its gangs, and its part of the room there is.
+  // The pace that a team can hope for: its limit less its gangs, and its part of the capacity there is.
   double supply = survey_.supply, demanded = 0;
   std::map<std::string, double> pace, gangs;
   for (const auto& [id, job] : context_.jobs.all())
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -26,8 +26,7 @@
   void lost();
   // `leader`: the member that leads, as far as is known here; empty for none.
   void tick(const std::string& leader);
-  // A submission goes to the leader: what this controller's lease covers is granted, and announced ahead of
-  // it.
+  // A submission goes to the leader: what this controller's lease covers is granted, and told ahead of it.
   void grant_submission(const std::string& leader, const std::string& body);
   // The body of another controller's frame. False: it makes no sense.
   bool take(const std::string& member, std::uint64_t incarnation, const std::string& body);
--- a/src/coordination/reports.cpp
+++ b/src/coordination/reports.cpp
@@ -30,8 +30,8 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// Whether this controller may answer a heartbeat that shows the fencing_token; if not, the heartbeat is
-// answered here.
+// Whether this controller may answer a heartbeat that shows the token; if not, the heartbeat is answered
+// here.
 bool Scheduler::entitled(std::uint64_t key, std::uint64_t fencing_token) {
   if (fencing_token > election_.term()) {
     // Somebody newer leads: the worker must move on at once, while its lease still runs.
@@ -55,23 +55,23 @@
   if (machine == nullptr) {
     machine = &context_.machines.add(heartbeat.machine, context_.now.steady);
     machine->provisioned_at = context_.now.steady;
-    spdlog::info("machine {} reports, unexpected", heartbeat.machine);
+    spdlog::info("machine {}: heartbeat of an unexpected machine", heartbeat.machine);
   }
   if (machine->state == MachineState::kGone) return actions_.answer(key, 503, {});
   if (machine->unanswered_since_ms || machine->unanswered_on_record) {
-    // Its lease is not renewed before its record allows it. It heartbeats again about a second later.
+    // Its lease is not renewed before its record allows it. It sends another heartbeat about a second later.
     context_.machines.clear_unanswered(*machine);
     return actions_.answer(key, 503, {});
   }
   if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
                             !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
-    // A late copy: it renews nothing. Or the machine was born again, which only a question can announce.
+    // A late copy: it renews nothing. Or the machine was reset, which only a probe can tell.
     probe_if_suspect(*machine);
     return actions_.answer(key, 503, {});
   }
   if (heartbeat.fencing_token < election_.term()) {
     // It may be a copy from long ago, and an earlier leader's launch may still be on its way: it proves
-    // nothing. Our fencing_token in the answer ends both, and its next heartbeat shows it.
+    // nothing. Our token in the answer ends both, and its next heartbeat shows it.
     first_contact(*machine, heartbeat);
     machine->last_answer = context_.now.steady;
     return actions_.answer(key, 200, {});
@@ -119,7 +119,7 @@
 
 void Scheduler::answer_heartbeat(Machine& machine, std::uint64_t key) {
   machine.last_answer = context_.now.steady;
-  context_.metrics.count("reports");
+  context_.metrics.count("heartbeats");
   actions_.answer(key, 200, commands_for(machine));
 }
 
@@ -133,8 +133,7 @@
     know_type(machine);
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
-  // It was answered with our fencing_token again and again and still does not show it: our answers don't
-  // reach it.
+  // It was answered with our token again and again and still does not show it: our answers don't reach it.
   if (++machine.unproven_answers >= c::kUnprovenMost) probe_if_suspect(machine);
 }
 
@@ -156,7 +155,8 @@
     if (machine.provisioned_at > 0 && machine.known_at - machine.provisioned_at < 1)
       context_.boots.record(machine.type, now - machine.provisioned_at);
     if (machine.provisioned_at > 0)
-      spdlog::info("machine {} up {:.1f} s after its rental", machine.name, now - machine.provisioned_at);
+      spdlog::info("machine {} up {:.1f} s after its provisioning request", machine.name,
+                   now - machine.provisioned_at);
   }
   if (machine.state == MachineState::kBooting || machine.state == MachineState::kUnresponsive)
     MachineLedger::set_state(machine, MachineState::kUp);
@@ -164,7 +164,7 @@
   dirty_ = true;
 }
 
-// The heartbeat is the evidence that reservations wait for: the has_space is still free.
+// The heartbeat is the evidence that reservations wait for: the capacity is still free.
 void Scheduler::confirm_reservations(Machine& machine) {
   for (const auto id : machine.reservations) {
     Job* job = context_.jobs.find(id);
@@ -175,9 +175,8 @@
   }
 }
 
-// What a newer heartbeat of a machine proves, once it shows our fencing_token. `direct`: it came as the
-// answer to a direct command, and a launch in the answer to the last real heartbeat may still be under way to
-// the worker.
+// What a newer heartbeat of a machine proves, once it shows our token. `direct`: it came as the answer to a
+// direct command, and a launch in the answer to the last real heartbeat may still be under way to the worker.
 namespace {
 // Each task once. Should one stand twice, the live attempt is the one that matters.
 std::map<TaskId, const TaskStatus*> tasks_shown(const Heartbeat& heartbeat) {
@@ -223,7 +222,7 @@
   // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
     note_undelivered(machine, c::kUndeliveredMost);
-  // Commands for the old agent_epoch are refused from now on.
+  // Commands for the old agent epoch are refused from now on.
   machine.direct.clear();
 }
 
@@ -245,7 +244,8 @@
                                 ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
                                 : std::nullopt;
   if (machine.interruption_at && !had_interruption_notice)
-    spdlog::info("machine {} will be taken in {:.0f} s", machine.name, *heartbeat.interruption_notice_s);
+    spdlog::info("machine {}: interruption notice, {:.0f} s left", machine.name,
+                 *heartbeat.interruption_notice_s);
 }
 
 // A run of ours that the heartbeat does not show.
@@ -254,12 +254,12 @@
   const TaskRun& run = job.runs.at(index);
   if (run.state == RunState::kPlanned) return;
   if (run.seen)
-    return run_lost(
-        job, index,
-        context.agent_restarted ? "its machine began a new session" : "it is not on its machine any more");
-  // Not shown yet. A direct command may still be carried out while its agent_epoch lasts. Else a real
+    return run_lost(job, index,
+                    context.agent_restarted ? "its machine began a new agent epoch"
+                                            : "it is not on its machine any more");
+  // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
   // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
-  // dropped that answer before it sent_heartbeat again. A direct answer settles nothing.
+  // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
   const bool settled = run.direct ? machine.agent_epoch > run.launch_agent_epoch
                                   : !context.direct && std::tie(machine.agent_epoch, machine.seq) >
                                                            std::tie(run.launch_agent_epoch, run.launch_seq);
@@ -274,7 +274,7 @@
 // A run of ours, as the heartbeat shows it. True: it has ended.
 bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) machine.undelivered = machine.probe_failures = 0;  // it took an order
+  if (!run.seen) machine.undelivered = machine.probe_failures = 0;  // it took a command
   run.seen = true;
   if (task.phase == TaskPhase::kExited) {
     task_exited(machine, job, index, task);
@@ -369,8 +369,8 @@
     (task.exit_reason == ExitReason::kDone || task.saved ? machine.useful : machine.lost) +=
         (now - run.running_since) * job.spec.cpus;
   if (spdlog::should_log(spdlog::level::debug))
-    spdlog::debug("task {} try {} on {}: {}{}", protocol::task_text(task.task), task.attempt, machine.name,
-                  protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
+    spdlog::debug("task {} attempt {} on {}: {}{}", protocol::task_text(task.task), task.attempt,
+                  machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
   if (task.exit_reason == ExitReason::kDone) {
     machine.errors = 0;
     machine.error_jobs.clear();
@@ -464,18 +464,19 @@
   spdlog::info("task of {} failed on {} ({} in a row there)", name_of(job), machine.name, machine.errors);
   if (sick && !machine.cordoned) {
     cordon(machine, "it fails the tasks of different jobs");
-    stop_machine_tasks(machine, "machine set aside");
+    stop_machine_tasks(machine, "machine cordoned");
   }
 }
 
 void Scheduler::cordon(Machine& machine, const char* why) {
   if (machine.cordoned) return;
   machine.cordoned = true;
-  context_.metrics.count("machines_set_aside");
-  spdlog::info("machine {} is set aside: {}", machine.name, why);
+  context_.metrics.count("machines_cordoned");
+  spdlog::info("machine {} is cordoned: {}", machine.name, why);
 }
 
-// Orders that newer heartbeats show were never taken. Whether the machine is deaf is settled by a question.
+// Commands that newer heartbeats show were never taken. Whether the machine is unreachable is settled by a
+// probe.
 void Scheduler::note_undelivered(Machine& machine, int by) {
   machine.undelivered += by;
   if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
--- a/src/coordination/request_routing.cpp
+++ b/src/coordination/request_routing.cpp
@@ -158,7 +158,7 @@
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
   if (!election_.may_announce_cancellation(*reply.cancelled)) {
-    context_.metrics.count("withdrawals_not_told_yet");
+    context_.metrics.count("cancellations_not_announced_yet");
     return answer(key, 503, c::kRetryAfterS,
                   protocol::error_json("it is withdrawn, and another controller has yet to hear of it"));
   }
--- a/src/coordination/run_times.hpp
+++ b/src/coordination/run_times.hpp
@@ -20,8 +20,8 @@
   double expected(const protocol::JobSpec& spec) const;
 
  private:
-  // What completions announce of a class, in natural logarithms: its run times, and how far the owners'
-  // estimates are off.
+  // What completions tell of a class, in natural logarithms: its run times, and how far the owners' estimates
+  // are off.
   struct ClassTimes {
     double run = 0, run_spread = 0, error = 0, error_spread = 0;
     int count = 0;
--- a/src/coordination/scheduler.cpp
+++ b/src/coordination/scheduler.cpp
@@ -27,7 +27,7 @@
     case LeaderPhase::kLoading:
       return "loading";
     case LeaderPhase::kReconciling:
-      return "gathering";
+      return "reconciling";
     case LeaderPhase::kServing:
       return "serving";
   }
@@ -161,9 +161,9 @@
   unreconciled_dirty_ = dirty_ = queues_dirty_ = true;
 }
 
-// Machines that have proved nothing yet may reservation any unplaced task of the jobs that an earlier leader
-// knew. Between two counts the sum can only be too high: tasks are adopted and machines seen, and no new task
-// gets there.
+// Machines that have proved nothing yet may hold any unplaced task of the jobs that an earlier leader knew.
+// Between two counts the sum can only be too high: tasks are adopted and machines seen, and no new task gets
+// there.
 void Scheduler::count_unreconciled() {
   unreconciled_dirty_ = false;
   std::map<std::string, bookkeeping::Usage> usage;
@@ -195,7 +195,7 @@
     const double want = a == right.end() ? 0 : a->second.cpus,
                  have = b == accounts.end() ? 0 : b->second.cpus;
     if (std::abs(want - have) > 1e-4)
-      return "team " + team.name + " uses " + std::to_string(want) + " cpus, the books say " +
+      return "team " + team.name + " uses " + std::to_string(want) + " cpus, the accounts say " +
              std::to_string(have);
   }
   std::size_t unreconciled = 0;
@@ -204,7 +204,7 @@
     const Resources counted = count_free_resources(context_, machine);
     if (machine.free_resources_known && machine.unknown_tasks.empty() &&
         std::abs(counted.cpus - machine.free_resources.cpus) > 1e-4)
-      return "machine " + name + " has " + std::to_string(counted.cpus) + " cpus free, the books say " +
+      return "machine " + name + " has " + std::to_string(counted.cpus) + " cpus free, the accounts say " +
              std::to_string(machine.free_resources.cpus);
     double gangs = 0;
     for (const auto& task : machine.tasks)
@@ -217,7 +217,7 @@
       return "machine " + name + ": gangs take " + std::to_string(gangs);
   }
   if (unreconciled != unreconciled_total_)
-    return std::to_string(unreconciled) + " machines are unseen, the books say " +
+    return std::to_string(unreconciled) + " machines are unreconciled, the accounts say " +
            std::to_string(unreconciled_total_);
   for (const auto& [id, job] : context_.jobs.all())
     for (const auto& [index, run] : job->runs) {
@@ -274,7 +274,7 @@
     change_log_.delete_uncollected();
   }
   if (phase_ == LeaderPhase::kServing) {
-    // Holds lapse and waits end by time alone, so a quiet moment needs rounds too.
+    // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
     if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) dirty_ = true;
     round();
     log_wait_reasons();
@@ -282,11 +282,11 @@
 }
 const char* Scheduler::why_waiting(const Job& job) const {
   if (context_.now.steady < job.backoff_until) return "backs off after failures";
-  if (blocked(job)) return "a silent machine may still hold its tasks";
+  if (blocked(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
     return "its team's limit is reached";
   if (job.tier > 0) return "steps back: it would be late anyway";
-  return "no room";
+  return "no capacity";
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduler.hpp
+++ b/src/coordination/scheduler.hpp
@@ -1,4 +1,4 @@
-// The leader's work: heartbeats in, commands out; gangs in rounds of reservations, arrays into the resources
+// The leader's work: heartbeats in, commands out; gangs in rounds of reservations, arrays into the capacity
 // that heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
 // gangs; direct.cpp direct commands.
 #pragma once
@@ -35,7 +35,7 @@
 // Whether launches go by direct commands on this site, and not only in the answers to heartbeats.
 bool launches_directly(const protocol::Settings& settings);
 
-// A command or question that goes straight to a worker, from here or from another controller on our behalf.
+// A command or probe that goes straight to a worker, from here or from another controller on our behalf.
 struct DirectCall {
   std::uint64_t id = 0;
   std::string addr;
@@ -55,8 +55,8 @@
   void end();    // not the leader any more
   void tick();
   void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
-  // A heartbeat that equals the one of `base_seq` but for its count. False: that one is not what the books
-  // stand on.
+  // A heartbeat that equals the one of `base_seq` but for its count. False: that one is not what the
+  // in-memory state stands on.
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
   void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
@@ -67,7 +67,7 @@
   JobLookup& lookup() { return lookup_; }
   // What memory says of jobs that wait for others is all that the records say.
   bool dependencies_settled() const { return dependencies_.settled(); }
-  // Answers about jobs may come from these books.
+  // Answers about jobs may come from this in-memory state.
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
@@ -86,7 +86,7 @@
   void dependency_cancelled(bookkeeping::Job& job);
   // Another controller wrote about this job.
   void read_job(protocol::JobId id);
-  // Another controller made a withdrawal durable.
+  // Another controller made a cancellation durable.
   void on_cancelled_elsewhere(protocol::JobId id);
 
   // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
@@ -100,7 +100,7 @@
   double lease_over_at(const bookkeeping::Machine& machine) const;
   double last_answer_at(const bookkeeping::Machine& machine) const;
   void stop_answering(bookkeeping::Machine& machine);
-  // A unresponsive machine that is worth giving up.
+  // An unresponsive machine that is worth giving up.
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
   // Time until the job should be over: by its own due time or by its class's aim.
@@ -122,7 +122,7 @@
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
   std::size_t unreconciled_machines() const { return unreconciled_total_; }
-  // What is wrong with the running books, by a count of everything; empty when nothing is. For tests.
+  // What is wrong with the running accounts, by a count of everything; empty when nothing is. For tests.
   std::string audit();
 
  private:
@@ -175,7 +175,7 @@
   void note_undelivered(bookkeeping::Machine& machine, int by);
   void probe_if_suspect(bookkeeping::Machine& machine);
   void cordon(bookkeeping::Machine& machine, const char* why);
-  // ---- running books: every run and reservation comes and goes through these ----
+  // ---- running accounts: every run and reservation comes and goes through these ----
   void place_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
                  bookkeeping::Machine& machine);
   void note_grant(bookkeeping::Job& job);
@@ -247,7 +247,7 @@
   void push_final(bookkeeping::Job& job);
   void sweep_jobs();
   void watch_machines();
-  // Withdrawn work may be on the machine: it has to prove in time that it is gone, or goes itself.
+  // Cancelled work may be on the machine: it has to prove in time that it is gone, or goes itself.
   void expect_cancelled_work_gone(bookkeeping::Machine& machine, const bookkeeping::Job& job);
   void check_cancelled_work_gone(bookkeeping::Machine& machine);
   void log_wait_reasons();
@@ -273,7 +273,7 @@
   std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
-  std::set<std::string> overdue_;            // machines that may reservation cancelled work
+  std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
   std::deque<std::pair<double, protocol::JobSpec>> recent_gangs_;
@@ -288,7 +288,7 @@
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
   std::set<std::string> stopping_;               // machines with tasks that are to stop
   std::set<std::string> unknown_task_machines_;  // machines that show tasks nobody wants
-  std::map<Kind, int> unreconciled_;  // machines that may reservation tasks of earlier leaders, by kind
+  std::map<Kind, int> unreconciled_;             // machines that may hold tasks of earlier leaders, by kind
   std::size_t unreconciled_total_ = 0;
   bool unreconciled_dirty_ = false;
   std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
@@ -312,7 +312,7 @@
   };
   std::map<std::uint64_t, OpenDirect> open_direct_;
   std::uint64_t direct_counter_ = 0;
-  std::size_t unreachable_ = 0;  // machines set aside because they hear nothing
+  std::size_t unreachable_ = 0;  // machines cordoned because they hear nothing
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -1,4 +1,4 @@
-// A new leader: reads the ledger, and gathers a full round of heartbeats before it places anything.
+// A new leader: reads the ledger, and waits for a full round of heartbeats before it places anything.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -95,7 +95,7 @@
         for (const auto& item : page->items) {
           auto job = JobLedger::from_record(item.value, item.mod_revision, context_.now.steady);
           if (!job) {
-            spdlog::error("the record {} makes no sense", item.key);
+            spdlog::error("malformed record {}", item.key);
             continue;
           }
           const JobId id = job->spec.id;
@@ -117,7 +117,7 @@
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
           if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
                                             election_.records_since()))
-            spdlog::error("the record {} makes no sense", item.key);
+            spdlog::error("malformed record {}", item.key);
         }
         if (page->more && !page->items.empty()) return load_machines(page->items.back().key);
         load_catalog();
@@ -172,8 +172,8 @@
     if (job->state == JobState::kActive) arrived(*job);
   }
   count_unreconciled();
-  // Any machine that has proved nothing yet may reservation tasks of what was cancelled under an earlier
-  // leader, and one that hangs also after its lease.
+  // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
+  // one that hangs also after its lease.
   for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
     for (auto& [name, machine] : context_.machines.all())
@@ -202,7 +202,7 @@
   next_reconcile_check_ = now + c::kReconcileCheckS;
   bool any = false;
   for (const auto& [name, machine] : context_.machines.all()) {
-    // One unanswered question is enough here: a unresponsive machine proves nothing by being waited for, and
+    // One unanswered probe is enough here: an unresponsive machine proves nothing by being waited for, and
     // what may be on it stays blocked until it does.
     if (machine.unreconciled && machine.probe_failures == 0) return false;
     any = any || machine.saw_term;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -146,7 +146,7 @@
 
   // A clean end hands over at once instead of letting the lease run out.
   void terminate() {
-    spdlog::info("asked to end");
+    spdlog::info("termination requested");
     server_.stop();
     peer_server_.stop();
     controller_.on_terminate(now());
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,4 +1,4 @@
-// What the cloud sends and hears: catalog, list of machines, rentals, returns.
+// What the cloud sends and hears: catalog, list of machines, provisioning requests, returns.
 #include <algorithm>
 #include <cmath>
 
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -7,7 +7,7 @@
 
 namespace robinford::protocol {
 
-// The only clock the context knows; main (or a test) passes it in.
+// The only clock the core knows; main (or a test) passes it in.
 struct ClockReading {
   double steady = 0;         // s, never steps
   std::int64_t wall_ms = 0;  // ms since 1970, right within the settings' clock error
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -127,7 +127,7 @@
 
 std::string job_state_json(JobId id, const char* state);
 std::string job_poll_json(JobId id, const char* state, std::uint64_t done, std::uint64_t running);
-// 421: whom a worker should heartbeat to.
+// 421: whom a worker should send its heartbeats to.
 std::string redirect_json(const std::string& member);
 std::string error_json(const std::string& reason);
 
--- a/src/protocol/peer_codec.hpp
+++ b/src/protocol/peer_codec.hpp
@@ -21,7 +21,7 @@
   kCommands = 7,                 // the answer to either
   kProbe = 8,                    // put a direct probe to a worker for me
   kProbeResult = 9,              // what it said
-  kCancellationsAnnounced = 10,  // cancellations that the sender's users were announced of
+  kCancellationsAnnounced = 10,  // cancellations that the sender's users were told of
   kQuota = 11,                   // of quota leases; its body has a codec of its own
 };
 
@@ -32,14 +32,14 @@
   std::uint64_t incarnation = 0;  // sender's process, drawn at its start
   std::uint64_t term = 0;         // highest term the sender knows
   // kStatus
-  bool leading = false;     // the sender reservations a valid lease for `term`
+  bool leading = false;     // the sender holds a valid lease for `term`
   bool ready = false;       // a leader that has its ledger loaded
   bool state_ok = false;    // the state service answered the sender lately
   std::uint64_t probe = 0;  // the moment of sending, for the receiver to echo
   std::uint64_t echo = 0,
                 echo_incarnation = 0;  // the receiver's last probe, and the process that asked it
-  std::uint64_t announced = 0;  // cancellations that the sender's process has announced users of, up to now
-  std::uint64_t taken = 0;      // of the receiver's (of the process named above), those that the sender knows
+  std::uint64_t announced = 0;         // cancellations that the sender's process has told users of, up to now
+  std::uint64_t taken = 0;  // of the receiver's (of the process named above), those that the sender knows
   // kCancellationsAnnounced: the number of the first, and the jobs
   std::uint64_t first = 0;
   std::vector<std::uint64_t> jobs;
@@ -49,11 +49,11 @@
   std::uint64_t status = 0, retry_after_s = 0;
   // kJobChanged: a job that the sender wrote into the ledger itself
   std::uint64_t job = 0;
-  // kHeartbeat, kProbeResult: what the worker says. kUnchangedHeartbeat: only its machine, agent_epoch, count
+  // kHeartbeat, kProbeResult: what the worker says. kUnchangedHeartbeat: only its machine, agent epoch, count
   // and token.
   Heartbeat heartbeat;
   std::uint64_t base_seq = 0;  // kUnchangedHeartbeat: the heartbeat that this one equals
-  // kCommands, kProbe. Of kProbe the worker's address is `target`, and the agent_epoch for which the commands
+  // kCommands, kProbe. Of kProbe the worker's address is `target`, and the agent epoch for which the commands
   // hold `base_seq`.
   std::vector<Command> commands;
 };
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -140,9 +140,9 @@
     team.cpus_max = number_or(entry, "cpus_max", where, 0, 1e9, 0);
     team.gpus = number_or(entry, "gpus", where, 0, 1e9, 0);
     team.gpus_max = number_or(entry, "gpus_max", where, 0, 1e9, 0);
-    // A guest: nothing is guaranteed to it, and no limit is set, so that what is unused may serve it. Read as
-    // a limit of nothing, each of its jobs was refused for ever. A team with a limit on one amount has none
-    // of the other.
+    // A team without quota: nothing is guaranteed to it, and no limit is set, so that what is unused may
+    // serve it. Read as a limit of nothing, each of its jobs was refused for ever. A team with a limit on one
+    // amount has none of the other.
     if (team.cpus_max == 0 && team.gpus_max == 0) team.cpus_max = team.gpus_max = constants::kAmountMax;
     if (!team_names.insert(team.name).second) fail("deployment.teams: '" + team.name + "' stands twice");
     s.teams.push_back(std::move(team));
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -45,7 +45,7 @@
   std::vector<Objective> objectives;
   double heartbeat_interval_s = 1, lease_s = 10, gang_wait_s = 30, gang_peer_s = 5, cancel_s = 30;
   // Of the state service: the smaller of its present limits and of those announced for later, since the
-  // moment of the change is not announced.
+  // moment of the change is not told.
   double state_rps = 100, state_write_rps = 40, value_kb = 16;
   int txn_ops = 32;
   std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -55,7 +55,7 @@
 
 void LeaseLedger::lower_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
-  // What is promised stays, whatever the lessee says: its grants may have been announced before.
+  // What is promised stays, whatever the lessee says: its grants may have been told before.
   const Amount lower = larger(part.promised, smaller(part.size, size));
   change_exposure(team, lower - part.size);
   part.size = lower;
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -31,7 +31,7 @@
   Amount size, promised, covered;
   Amount demand;
   std::uint32_t slice = 0;  // of the durable record in which it stands
-  bool durable = false;     // the present revision is on record, so that the lessee may be announced
+  bool durable = false;     // the present revision is on record, so that the lessee may be told
   double grown_at = 0;
   Amount keep;  // what it should shrink to; `size` when nothing is recalled
   Amount idle() const { return size - promised; }
--- a/src/quota/lease_record.hpp
+++ b/src/quota/lease_record.hpp
@@ -26,7 +26,7 @@
 struct LeaseRecord {
   std::string member;
   std::uint64_t epoch = 0;        // number of the lease, never used again: a fencing token
-  std::uint64_t incarnation = 0;  // the process that reservations it
+  std::uint64_t incarnation = 0;  // the process that holds it
   std::vector<LeasePart> parts;
   bool operator==(const LeaseRecord&) const = default;
 };
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -141,8 +141,7 @@
   grants_made_ = grants_sent_ = refunds_taken_ = 0;
 }
 
-// A leader that took over knows none of the grants: all outstanding ones are announced again, under new
-// numbers.
+// A leader that took over knows none of the grants: all outstanding ones are told again, under new numbers.
 void Lessee::start_lessor_incarnation(std::uint64_t lessor_incarnation) {
   lessor_incarnation_ = lessor_incarnation;
   unacknowledged_.clear();
@@ -195,7 +194,7 @@
   return {decayed(found->second.sum.cpus), decayed(found->second.sum.gpus)};
 }
 
-// 0 means that nothing is demand_sum, so the moment is never 0.
+// 0 means that nothing is asked, so the moment is never 0.
 std::uint64_t Lessee::probe_time(double now) const {
   return static_cast<std::uint64_t>(std::max(1.0, std::floor(now * c::kMsPerS)));
 }
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -1,9 +1,9 @@
 // The lessee: grants capacity of the teams' limits from this controller's lease, without asking anybody.
 //
-// Invariant: for each team, what outstanding grants promise is at most the part that the lessee reservations,
-// and the part that it reservations is at most what the lessor counts as leased to it. Nothing is granted
-// once the lease could be over by the lessor's clock, however late the call comes: each grant compares with
-// the present moment.
+// Invariant: for each team, what outstanding grants promise is at most the part that the lessee holds, and
+// the part that it holds is at most what the lessor counts as leased to it. Nothing is granted once the lease
+// could be over by the lessor's clock, however late the call comes: each grant compares with the present
+// moment.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 enum class LesseeState : std::uint8_t {
   kNone,     // no lease
-  kHolding,  // has a lease; whether it is still valid is a probe of the moment
+  kHolding,  // has a lease; whether it is still valid is a question of the moment
   kExpired,  // the lease was over when it was last looked at; it may be renewed while the lessor keeps it
 };
 const char* to_text(LesseeState state);
@@ -99,7 +99,7 @@
   std::uint64_t epoch_ = 0;
   std::uint64_t lessor_incarnation_ = 0;
   double valid_until_ = -1e9;
-  double reset_at_ = -1e9;  // echoes of earlier questions renew nothing
+  double reset_at_ = -1e9;  // echoes of earlier probes renew nothing
   std::map<std::string, Part> parts_;
   std::map<protocol::JobId, Grant> grants_;
   std::deque<NewGrant> unacknowledged_;
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -121,12 +121,12 @@
   if (lease == nullptr) lease = &open_lease(member, incarnation, now);
   const bool same_incarnation =
       message.epoch == lease->epoch && message.lessor_incarnation == lessor_incarnation_;
-  // A late copy: it must not begin the lessor_incarnation anew, or what either side says in it is not
+  // A late copy: it must not begin the lessor incarnation anew, or what either side says in it is not
   // understood any more.
   if (message.probe != 0 && message.probe <= lease->last_probe) return std::nullopt;
   if (!same_incarnation) {
     if (message.probe == 0) return std::nullopt;
-    // It learns lease and lessor_incarnation from the answer, and then tells its grants anew. Nothing is
+    // It learns lease and lessor incarnation from the answer, and then tells its grants anew. Nothing is
     // renewed before.
     lease->last_probe = message.probe;
     lease->synchronized = false;
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -1,9 +1,9 @@
 // The lessor: hands parts of the teams' limits out to lessees, as long as this controller leads.
 //
 // Invariant, for each team and resource: what is or may be running, plus what outstanding leases still
-// permit, is at most the limit. A part is enlarged in memory first, then on record, and only then announced
-// to its lessee; it is made smaller only by the lessee's word under the same revision, or once the lease is
-// surely over. What is unknown counts as taken.
+// permit, is at most the limit. A part is enlarged in memory first, then on record, and only then told to its
+// lessee; it is made smaller only by the lessee's word under the same revision, or once the lease is surely
+// over. What is unknown counts as taken.
 #pragma once
 
 #include <boost/json.hpp>
@@ -48,10 +48,10 @@
   boost::json::value value;
 };
 
-// A write that the caller carries out, conditional on leadership and on the mod_revision.
+// A write that the caller carries out, conditional on leadership and on the mod revision.
 struct LeaseWrite {
   std::string key;
-  std::uint64_t expect = 0;                  // mod_revision that the key must have; 0: it must not exist
+  std::uint64_t expect = 0;                  // mod revision that the key must have; 0: it must not exist
   std::optional<boost::json::object> value;  // nothing: delete it
 };
 
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -28,7 +28,7 @@
   std::map<std::string, std::vector<LeaseRecord>> by_member;
   for (const auto& stored : records) load_record(stored, by_member);
   for (const auto& [member, slices] : by_member) {
-    // Our own process reservations nothing while it leads, and a former process of ours is over.
+    // Our own process holds nothing while it leads, and a former process of ours is over.
     if (member == settings_.member) {
       write_all_records(member, now + c::kLazyRecordS);
       continue;
@@ -84,7 +84,7 @@
   }
   // It may stand for a lease of any size: nothing is free until that would be over.
   ++counters_.bad_records;
-  spdlog::error("the record {} makes no sense: {}", stored.key, reason);
+  spdlog::error("malformed record {}: {}", stored.key, reason);
   unreadable_until_ = std::max(unreadable_until_, lease_end(now_));
   auto& entry = records_[stored.key];
   entry.mod_revision = stored.mod_revision;
@@ -177,7 +177,7 @@
     return;
   }
   ++counters_.write_conflicts;
-  spdlog::warn("quota leases: the record {} was changed by another", key);
+  spdlog::warn("quota leases: record {} was changed by another writer", key);
   reload_ = true;
   set_state(LessorState::kLoading);
 }
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -1,8 +1,8 @@
 // What lessees (controllers that grant from a lease) and the lessor (the leader, which hands leases out) say
 // to each other, as the body of a peer frame.
 //
-// A *lessor_incarnation* begins whenever a lessor reads the records of leases. Grants are numbered by the
-// lessee and refunds by the lessor, both from 1 within the lessor_incarnation; each side repeats what the
+// A *lessor incarnation* begins whenever a lessor reads the records of leases. Grants are numbered by the
+// lessee and refunds by the lessor, both from 1 within the lessor incarnation; each side repeats what the
 // other one has not acknowledged, so each takes effect once and in order.
 #pragma once
 
@@ -35,7 +35,7 @@
   bool operator==(const Refund&) const = default;
 };
 
-// The part of a team's limit that the lessee reservations, by the last revision that it took.
+// The part of a team's limit that the lessee holds, by the last revision that it took.
 struct HeldPart {
   std::string team;
   std::uint64_t revision = 0;
@@ -55,18 +55,19 @@
 
 struct LesseeMessage {
   std::uint64_t lessor_incarnation = 0;  // that the numbers belong to; 0: none yet
-  std::uint64_t epoch = 0;               // of the lease that it reservations; 0: none
+  std::uint64_t epoch = 0;               // of the lease that it holds; 0: none
   std::uint64_t probe = 0;               // moment of sending, for the lessor to echo; 0: asks for nothing
   std::uint64_t refunds_taken = 0;
-  bool with_parts = false;  // `parts` are all that it reservations or asks for
+  bool with_parts = false;  // `parts` are all that it holds or asks for
   std::vector<NewGrant> grants;
   std::vector<HeldPart> parts;
   bool operator==(const LesseeMessage&) const = default;
 };
 
 struct LessorMessage {
-  std::uint64_t incarnation = 0;         // of the lessee that is meant
-  std::uint64_t lessor_incarnation = 0;  // sessions are numbered like epochs: later ones have larger numbers
+  std::uint64_t incarnation = 0;  // of the lessee that is meant
+  std::uint64_t lessor_incarnation =
+      0;  // lessor incarnations are numbered like epochs: later ones have larger numbers
   std::uint64_t epoch = 0;
   std::uint64_t probe = 0;  // echo: renews the lease from that moment; 0: renews nothing
   std::uint64_t grants_taken = 0;
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -164,7 +164,7 @@
     }
     pending.erase(0, at);
     if (!good) {
-      spdlog::warn("a peer link sent bytes that make no sense; link closed");
+      spdlog::warn("malformed frame on a peer link; link closed");
       break;
     }
   }
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,4 +1,4 @@
-// How far a leader knows what users were announced: each way in which that knowledge could be dated too late.
+// How far a leader knows what users were told: each way in which that knowledge could be dated too late.
 #include "coordination/cancellations.hpp"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
 
 struct ThreeMembers : ::testing::Test {
   Member a{"a"}, b{"b"}, c{"c"};
-  // A probe of a at `sent`, answered by the other at `answered`.
+  // A probe of a at `asked`, answered by the other at `answered`.
   void round_trip(Member& other, double sent, double answered) {
     other.hear(a.status_to(other, sent));
     a.hear(other.status_to(a, answered));
@@ -157,7 +157,7 @@
   round_trip(c, 101, 101.1);
   EXPECT_TRUE(a.cancellations.current(102.9));
   EXPECT_FALSE(a.cancellations.current(103.1));
-  // Cut off since then: b tells only when a's books are surely not current any more.
+  // Cut off since then: b tells only when a's in-memory state is surely not current any more.
   c.hear(b.status_to(c, 101.1));
   b.cancellations.announce(7);
   EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 102));
@@ -195,7 +195,7 @@
   ASSERT_TRUE(first);
   EXPECT_EQ(first->first, 11u);
   EXPECT_LE(first->jobs.size(), constants::kAnnouncedBatch);
-  // A leader that was never brought that far is not announced that it was.
+  // A leader that was never brought that far is not told that it was.
   a.cancellations.elected();
   auto announced = *first;
   announced.member = "b";
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -1,4 +1,4 @@
-// The checker of the protocol's rules.
+// The invariant checker of the protocol's rules.
 #include <algorithm>
 #include <cmath>
 #include <optional>
--- a/tests/loopback/history.hpp
+++ b/tests/loopback/history.hpp
@@ -10,12 +10,12 @@
 namespace robinford::loopback {
 
 enum class EventKind : std::uint8_t {
-  kAccepted,       // a user was announced that the job is accepted
-  kTaskOn,         // a task began to take free on a worker
+  kAccepted,       // a user was told that the job is accepted
+  kTaskOn,         // a task began to take capacity on a worker
   kTaskOff,        // it takes none any more
   kTaskDone,       // it completed
-  kAnsweredDone,   // a user was announced that the job is done
-  kAnsweredOther,  // a user was announced of another state
+  kAnsweredDone,   // a user was told that the job is done
+  kAnsweredOther,  // a user was told of another state
 };
 
 struct Event {
@@ -43,8 +43,8 @@
   std::size_t accepted = 0, done = 0;
 };
 
-// Limits kept at each clock_reading, no task twice at once or completed twice, no older answer after `done`,
-// every accepted job ended with all its tasks, and nothing left on a worker.
+// Limits kept at each moment, no task twice at once or completed twice, no older answer after `done`, every
+// accepted job ended with all its tasks, and nothing left on a worker.
 Findings check(const History& history);
 
 // Sums of one gauge or counter over the text pages of metrics.
--- a/tests/loopback/quota_loopback_test.cpp
+++ b/tests/loopback/quota_loopback_test.cpp
@@ -70,7 +70,7 @@
 
 // ---------------------------------------------------------------- three controllers
 
-// Jobs of one wave; CI has few, and a longer run is requested for by the variable.
+// Jobs of one wave; CI has few, and a longer run is asked for by the variable.
 int jobs_a_wave() {
   const char* requested = std::getenv("ROBINFORD_LOOPBACK_WAVE");
   return requested == nullptr ? 360 : std::atoi(requested);
--- a/tests/loopback/site.cpp
+++ b/tests/loopback/site.cpp
@@ -239,7 +239,7 @@
   cloud_->listen(kHost, 0);
 }
 
-// The machines are there from the start, none is rented, and none goes.
+// The machines are there from the start, none is provisioned, and none goes.
 std::pair<int, std::string> Site::cloud_call(const std::string& method, const std::string& target) {
   protocol::MachineType type;
   type.name = "big";
--- a/tests/loopback/site.hpp
+++ b/tests/loopback/site.hpp
@@ -39,7 +39,7 @@
   Site(const Site&) = delete;
   Site& operator=(const Site&) = delete;
 
-  // Runs everything for so long, or until the condition reservations. True: it held.
+  // Runs everything for so long, or until the condition holds. True: it held.
   bool run(double seconds, const std::function<bool()>& until = {});
   // Submits the job to the given controller first; a user repeats it until it is accepted.
   void submit(int controller, const protocol::JobSpec& spec);
--- a/tests/machine_records_test.cpp
+++ b/tests/machine_records_test.cpp
@@ -167,7 +167,7 @@
   EXPECT_TRUE(ledger.find(name_of(0))->unreconciled);
 }
 
-// A machine that is gone during the move reservations up nothing.
+// A machine that is gone during the move holds up nothing.
 TEST(MachineRecords, AMachineThatIsGoneLeavesItsRecord) {
   MachineLedger old;
   add_machines(old, 0, 2);
--- a/tests/measure/lease_measurement.cpp
+++ b/tests/measure/lease_measurement.cpp
@@ -17,12 +17,12 @@
 
 constexpr int kTeams = 6;
 constexpr double kGuarantee = 32, kLimit = 64;  // cpus of each team
-constexpr int kMachines = 32;                   // of 16 cpus: free for all limits at once
+constexpr int kMachines = 32;                   // of 16 cpus: capacity for all limits at once
 constexpr double kQuietS = 40, kBurstS = 30, kEndS = 130;
 constexpr double kQuietRate = 4;  // jobs a second over all teams
 constexpr double kBurstRate = 6;  // jobs a second more, of one team
 constexpr std::size_t kWindowSamples = 5;
-constexpr double kDueS = 8;  // without it the fleet reservations machines back for work that is in no hurry
+constexpr double kDueS = 8;  // without it the fleet holds machines back for work that is in no hurry
 constexpr double kSampleS = 0.25;
 constexpr double kStateTimes =
     20;  // of the usual limits of the state service: it must not be what is measured
--- a/tests/quota_property_test.cpp
+++ b/tests/quota_property_test.cpp
@@ -113,7 +113,7 @@
         late_until_ = now_ + 0.05 * amount;
         break;
       case 11:
-        // A leader started with new settings; the lower limit reservations for new placements.
+        // A leader started with new settings; the lower limit holds for new placements.
         limit_ = amount % 3 == 0 ? kLimit / 2 : kLimit;
         depose();
         break;
@@ -308,7 +308,7 @@
     launch();
   }
 
-  // Conditional on leadership and mod_revision. A late one was not answered, so the writer tries it once
+  // Conditional on leadership and mod revision. A late one was not answered, so the writer tries it once
   // more.
   void carry_out(LeaseWrite write) {
     if (now_ < late_until_ && random_ % 2 == 0) return lessor_->not_written(write.key, false);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -174,7 +174,7 @@
   EXPECT_EQ(lessee.grant(job(2, 3, 1), 100.2)->tasks, 3u);
   EXPECT_EQ(lessee.grant(job(3, 9, 1), 100.2)->tasks, 1u);  // an array takes what is left
   EXPECT_FALSE(lessee.grant(job(4, 1, 1), 100.2));
-  EXPECT_FALSE(lessee.grant(job(2, 3, 1), 100.2));  // requested again: nothing new
+  EXPECT_FALSE(lessee.grant(job(2, 3, 1), 100.2));  // asked again: nothing new
   EXPECT_EQ(lessee.audit(), "");
   EXPECT_EQ(lessee.counters().granted, 2u);
 }
@@ -185,13 +185,13 @@
   EXPECT_EQ(lessee.grant(job(2, 4, 1, true), 100.2)->tasks, 4u);
 }
 
-// It stood still, and works through what came meanwhile: the clock_reading of the grant counts.
+// It stood still, and works through what came meanwhile: the moment of the grant counts.
 TEST_F(LesseeTest, GrantsNothingOnceTheLeaseCouldBeOver) {
   lessee.take(offer(4, 1, 100), 100.1);
   EXPECT_TRUE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.5));
   EXPECT_FALSE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.25));
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 106));
-  // A late answer to an early probe renews nothing beyond that probe's time.
+  // A late answer to an early question renews nothing beyond that question's time.
   lessee.take(offer(4, 1, 100), 107);
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 107));
   EXPECT_EQ(lessee.counters().not_valid, 2u);
@@ -575,7 +575,7 @@
   lessor.loaded({}, now);
   const auto before = reply.lessor_incarnation;
   send_to_lessor(say(4));
-  EXPECT_GT(reply.lessor_incarnation, before);  // grants are announced anew
+  EXPECT_GT(reply.lessor_incarnation, before);  // grants are told anew
 }
 
 TEST_F(LessorTest, PartsOfManyTeamsAreSpreadOverSlices) {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -45,7 +45,7 @@
   // Users submit a job once all that it needs is accepted.
   bool may_be_submitted(const protocol::JobSpec& spec) const;
   void answered(double now, protocol::JobId id);  // a question about the job was answered at all
-  // After the last trouble: no accepted job without an answer for 75 s, half of each class, team and of a
+  // After the last fault: no accepted job without an answer for 75 s, half of each class, team and of a
   // class's largest jobs served, the largest begun within four minutes.
   void watch_answers(double now);
   void close(double now);
@@ -56,7 +56,7 @@
   void cancel_requested(protocol::JobId id) { cancel_requested_.insert(id); }
   void look(double now);  // rules that time alone breaks
   bool cancel_was_requested(protocol::JobId id) const { return cancel_requested_.contains(id); }
-  // A job that can never run, or lacks a field, and what its user was announced of it.
+  // A job that can never run, or lacks a field, and what its user was told of it.
   void answered_bad(double now, protocol::JobId id, int status, int expected);
   // Resources for each type, zone and kind that is free now: after the last trouble no job is left waiting
   // beside it.
@@ -74,16 +74,16 @@
   bool accepted(protocol::JobId id) const { return accepted_.contains(id); }
   const std::map<std::string, std::string>& broken() const { return broken_; }
   int starts = 0;
-  // Questions that users requested about jobs, and those answered with a state within 2 s.
+  // Questions that users asked about jobs, and those answered with a state within 2 s.
   int polls_sent = 0, polls_answered = 0;
   int submissions_shed = 0;                       // turned away since too many requests wait
-  std::map<protocol::JobId, double> accepted_at;  // when its user was first announced
+  std::map<protocol::JobId, double> accepted_at;  // when its user was first told
   void breach(const char* rule, double now, const std::string& what);
 
  private:
   // Calls `visit` for all that the job needs, directly or through others, until it returns true.
   bool any_dependency(protocol::JobId id, const std::function<bool(protocol::JobId)>& visit) const;
-  // The cancellation of the job, or of one that it needs, was requested for.
+  // The cancellation of the job, or of one that it needs, was asked for.
   bool cancel_was_implied(protocol::JobId id) const;
   // When all that it needs was done, or its submission; nothing while it waits.
   std::optional<double> eligible_at(protocol::JobId id) const;
@@ -156,7 +156,7 @@
                       double by_s);  // its next heartbeat reaches the controllers late
   // Its next heartbeat arrives in time, and a copy of it late, at whichever controller leads then.
   void copy_heartbeat(const std::string& machine, double by_s);
-  void reset_agent(const std::string& machine);  // back at once: agent_epoch 1, nothing on it, no token seen
+  void reset_agent(const std::string& machine);  // back at once: agent epoch 1, nothing on it, no token seen
   // Its next direct command is carried out late and never answered, or carried out, answered and carried out
   // again.
   void late_command(const std::string& machine, double by_s);
@@ -171,9 +171,9 @@
   void freeze(int node, double for_s);
   // Its heartbeats reach no controller; direct commands get there.
   void lose_outbound(const std::string& machine, double for_s);
-  // Users call off so many running jobs at once; up to eight of their machines hang, if so announced.
+  // Users call off so many running jobs at once; up to eight of their machines hang, if so told.
   void cancel_running(int count, double hang_s);
-  // That share of the jobs that end is called off at the clock_reading of the last task's end.
+  // That share of the jobs that end is called off at the moment of the last task's end.
   void cancel_at_end(double share, double for_s) { end_share_ = share, end_until_ = now_ + for_s; }
   // That share of the transactions gets no answer and is carried out 2 s to `by` later.
   void late_writes(double share, double by_s, double for_s) {
@@ -184,7 +184,7 @@
   const StateStore& store() const { return store_; }
   /// Of everything that left the controllers so far.
   const simulation::OutboxDigest& outbox_digest() const { return outbox_digest_; }
-  // So many of the machines rented next never come up.
+  // So many of the machines provisioned next never come up.
   void boots_fail(int count) { failing_boots_ = count; }
   // Watches of the state service are not answered.
   void lose_watches(double for_s) { watches_lost_until_ = now_ + for_s; }
--- a/tests/simulated_cluster_cloud.cpp
+++ b/tests/simulated_cluster_cloud.cpp
@@ -39,7 +39,7 @@
     const auto names = protocol::parse_provisioned(body);
     for (const auto& name : *names) {
       const auto found = workers_.find(name);
-      // With this inject_violation nothing ends cancelled work, neither the return of its machine nor its
+      // With this injected violation nothing ends cancelled work, neither the return of its machine nor its
       // lease.
       if (found == workers_.end() || injected_violation_ == "never_stops") continue;
       clear_worker(found->second);
--- a/tests/simulated_cluster_common.hpp
+++ b/tests/simulated_cluster_common.hpp
@@ -11,9 +11,9 @@
 inline constexpr double kLaunchesOnTheWay = 2;  // s that a launch takes at the most to be on its machine
 inline constexpr double kWorkerStep = 0.1;      // s between two steps of a worker
 inline constexpr double kPollPatienceS = 2;     // s that a user waits for the answer to a question
-inline constexpr double kAuditEvery = 0.25;     // s between two counts of the running books
-inline constexpr double kForgottenAfter = 75;   // s without any answer about a job, once troubles are over
-inline constexpr double kLeftWaiting = 90;      // s beside capacity that fits, once troubles are over
+inline constexpr double kAuditEvery = 0.25;     // s between two counts of the running accounts
+inline constexpr double kForgottenAfter = 75;   // s without any answer about a job, once faults are over
+inline constexpr double kLeftWaiting = 90;      // s beside capacity that fits, once faults are over
 inline constexpr double kWaitingEvery = 2;      // s between two looks for that
 inline constexpr double kLargestBegin = 240;    // s within which the largest jobs of a class begin
 
--- a/tests/state_store.hpp
+++ b/tests/state_store.hpp
@@ -1,5 +1,5 @@
 // The stand-in of the state service: keys, leases, transactions and changes, by its published protocol. It
-// knows no network and no troubles; the simulated cluster and the loopback tests put these around it.
+// knows no network and no faults; the simulated cluster and the loopback tests put these around it.
 #pragma once
 
 #include <boost/json.hpp>
