--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -5,12 +5,12 @@
 #include <string>
 
 #include "coordination/controller_context.hpp"
-#include "coordination/election.hpp"
-#include "coordination/fleet.hpp"
-#include "coordination/job_requests.hpp"
-#include "coordination/peer_versions.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/election/peer_versions.hpp"
+#include "coordination/fleet/fleet.hpp"
 #include "coordination/quota_leases.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/routing/job_requests.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 #include "protocol/peer_codec.hpp"
 
 namespace robinford::coordination {
--- a/src/coordination/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -1,4 +1,4 @@
-#include "coordination/election.hpp"
+#include "coordination/election/election.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/peer_versions.cpp
+++ b/src/coordination/election/peer_versions.cpp
@@ -1,4 +1,4 @@
-#include "coordination/peer_versions.hpp"
+#include "coordination/election/peer_versions.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/boot_times.cpp
+++ b/src/coordination/fleet/boot_times.cpp
@@ -1,4 +1,4 @@
-#include "coordination/boot_times.hpp"
+#include "coordination/fleet/boot_times.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -1,5 +1,5 @@
 // The fleet review, and the calls to the cloud that follow from it.
-#include "coordination/fleet.hpp"
+#include "coordination/fleet/fleet.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "coordination/controller_context.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace robinford::coordination {
 
--- a/src/coordination/fleet_demand.cpp
+++ b/src/coordination/fleet/fleet_demand.cpp
@@ -7,7 +7,7 @@
 #include <tuple>
 
 #include "constants.hpp"
-#include "coordination/fleet.hpp"
+#include "coordination/fleet/fleet.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
--- a/src/coordination/fleet_returns.cpp
+++ b/src/coordination/fleet/fleet_returns.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 
 #include "constants.hpp"
-#include "coordination/fleet.hpp"
+#include "coordination/fleet/fleet.hpp"
 #include "protocol/names.hpp"
 
 namespace robinford::coordination {
--- a/src/coordination/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -1,4 +1,4 @@
-#include "coordination/change_log.hpp"
+#include "coordination/leader/change_log.hpp"
 
 #include <algorithm>
 #include <optional>
--- a/src/coordination/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "coordination/controller_context.hpp"
-#include "coordination/election.hpp"
+#include "coordination/election/election.hpp"
 
 namespace robinford::coordination {
 
--- a/src/coordination/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -1,4 +1,4 @@
-#include "coordination/dependencies.hpp"
+#include "coordination/leader/dependencies.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -9,7 +9,7 @@
 
 #include "bookkeeping/dependency_graph.hpp"
 #include "coordination/controller_context.hpp"
-#include "coordination/job_lookup.hpp"
+#include "coordination/routing/job_lookup.hpp"
 
 namespace robinford::coordination {
 
--- a/src/coordination/reports.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 
 #include "constants.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
--- a/src/coordination/machine_records.cpp
+++ b/src/coordination/leader/machine_records.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "constants.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "constants.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "coordination/controller_context.hpp"
-#include "coordination/election.hpp"
-#include "coordination/peer_versions.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/election/peer_versions.hpp"
 #include "quota/lessee.hpp"
 #include "quota/lessor.hpp"
 
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cancellations.hpp"
+#include "coordination/routing/cancellations.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_lookup.hpp"
+#include "coordination/routing/job_lookup.hpp"
 
 #include <memory>
 #include <set>
--- a/src/coordination/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_requests.hpp"
+#include "coordination/routing/job_requests.hpp"
 
 #include <algorithm>
 #include <memory>
--- a/src/coordination/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "coordination/controller_context.hpp"
-#include "coordination/peer_versions.hpp"
-#include "coordination/scheduler.hpp"
+#include "coordination/election/peer_versions.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace robinford::coordination {
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/placement.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/coordination/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -1,4 +1,4 @@
-#include "coordination/run_times.hpp"
+#include "coordination/scheduling/run_times.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/coordination/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/scheduler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -13,14 +13,14 @@
 #include <vector>
 
 #include "constants.hpp"
-#include "coordination/change_log.hpp"
 #include "coordination/controller_context.hpp"
-#include "coordination/dependencies.hpp"
-#include "coordination/election.hpp"
-#include "coordination/job_lookup.hpp"
-#include "coordination/peer_versions.hpp"
-#include "coordination/placement.hpp"
-#include "coordination/run_times.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/election/peer_versions.hpp"
+#include "coordination/leader/change_log.hpp"
+#include "coordination/leader/dependencies.hpp"
+#include "coordination/routing/job_lookup.hpp"
+#include "coordination/scheduling/placement.hpp"
+#include "coordination/scheduling/run_times.hpp"
 
 namespace robinford::coordination {
 
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,5 +1,5 @@
 // How far a leader knows what users were told: each way in which that knowledge could be dated too late.
-#include "coordination/cancellations.hpp"
+#include "coordination/routing/cancellations.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -1,5 +1,5 @@
 // The leader's handling of waiting jobs, against answers of the state service given by hand.
-#include "coordination/dependencies.hpp"
+#include "coordination/leader/dependencies.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/job_record_test.cpp
+++ b/tests/job_record_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "bookkeeping/job_ledger.hpp"
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/placement.hpp"
 #include "protocol/names.hpp"
 
 namespace robinford::bookkeeping {
--- a/tests/peer_versions_test.cpp
+++ b/tests/peer_versions_test.cpp
@@ -1,5 +1,5 @@
 // The registry of controllers that know dependencies.
-#include "coordination/peer_versions.hpp"
+#include "coordination/election/peer_versions.hpp"
 
 #include <gtest/gtest.h>
 
