--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -8,6 +8,7 @@
 #include <fstream>
 #include <sstream>
 
+#include "protocol/names.hpp"
 #include "simulated_cluster.hpp"
 
 namespace robinford::simulation {
@@ -136,7 +137,7 @@
   void setup(const Line& line) {
     const std::string what = line.plain[0];
     if (what == "site") {
-      options_.heartbeat_interval_s = number(line, "report", options_.heartbeat_interval_s);
+      options_.heartbeat_interval_s = number(line, "heartbeat", options_.heartbeat_interval_s);
       options_.lease_s = number(line, "lease", options_.lease_s);
       options_.fetch_s = number(line, "fetch", options_.fetch_s);
       options_.cancel_s = number(line, "cancel", options_.cancel_s);
@@ -192,11 +193,11 @@
   void act(SimulatedCluster& cluster, const Line& line) const {
     const std::string what = line.plain[0];
     const double for_s = number(line, "for", 5);
-    if (what != "machines" && what != "submit" && what != "flood" && what != "cancel" && what != "sabotage" &&
-        what != "leases" && what != "limit")
+    if (what != "machines" && what != "submit" && what != "flood" && what != "cancel" &&
+        what != "inject_violation" && what != "leases" && what != "limit")
       cluster.checker.fault_until(cluster.now() +
                                   std::max({for_s, number(line, "back", 0), number(line, "hang", 0),
-                                            number(line, "by", 0) + (what == "repeats" ? for_s : 0)}));
+                                            number(line, "by", 0) + (what == "duplicate" ? for_s : 0)}));
     if (what == "machines") {
       cluster.machines(std::stoi(word(line, 1)), word(line, 2), word(line, 3), number(line, "spot", 0) > 0);
     } else if (what == "submit") {
@@ -238,16 +239,16 @@
       } else {
         cluster.cut(place(word(line, 1)), place(word(line, 2)), for_s, hold);
       }
-    } else if (what == "apart") {
+    } else if (what == "isolate") {
       if (const int which = node(cluster, word(line, 1)); which >= 0)
-        cluster.apart(which, for_s, number(line, "reset", 0) > 0);
+        cluster.isolate(which, for_s, number(line, "reset", 0) > 0);
     } else if (what == "freeze") {
       if (const int which = node(cluster, word(line, 1)); which >= 0) cluster.freeze(which, for_s);
-    } else if (what == "repeats") {
-      SimulatedCluster::Repeats repeats{number(line, "by", 5), cluster.now() + for_s, {}};
-      for (std::size_t i = 1; i < line.plain.size(); ++i) repeats.kinds.insert(line.plain[i]);
-      cluster.repeat(std::move(repeats));
-    } else if (what == "sabotage") {
+    } else if (what == "duplicate") {
+      SimulatedCluster::Duplicates duplicates{number(line, "by", 5), cluster.now() + for_s, {}};
+      for (std::size_t i = 1; i < line.plain.size(); ++i) duplicates.kinds.insert(line.plain[i]);
+      cluster.duplicate(std::move(duplicates));
+    } else if (what == "inject_violation") {
       cluster.inject_violation(word(line, 1));
     } else if (what == "slow_state") {
       cluster.slow_state(number(line, "by", 0.5), for_s);
@@ -286,25 +287,25 @@
         cluster.hang(target, for_s);
       else if (what == "die")
         cluster.die(target);
-      else if (what == "sick")
-        cluster.sick(target, for_s);
-      else if (what == "notice")
+      else if (what == "faulty")
+        cluster.faulty(target, for_s);
+      else if (what == "interruption_notice")
         cluster.interruption_notice(target, for_s);
-      else if (what == "late_report")
+      else if (what == "late_heartbeat")
         cluster.late_heartbeat(target, number(line, "by", 5));
-      else if (what == "lose_answers" || what == "deaf")
-        cluster.lose_answers(target, for_s);
-      else if (what == "mute")
+      else if (what == "lose_inbound")
+        cluster.lose_inbound(target, for_s);
+      else if (what == "lose_outbound")
         cluster.lose_outbound(target, for_s);
-      else if (what == "hold_report")
+      else if (what == "hold_heartbeat")
         cluster.hold_heartbeat(target);
-      else if (what == "copy_report")
+      else if (what == "copy_heartbeat")
         cluster.copy_heartbeat(target, number(line, "by", 5));
       else if (what == "late_command")
         cluster.late_command(target, number(line, "by", 5));
       else if (what == "repeat_command")
         cluster.repeat_command(target, number(line, "by", 5));
-      else if (what == "reborn")
+      else if (what == "reset_agent")
         cluster.reset_agent(target);
       else
         throw std::runtime_error("line " + std::to_string(line.number) + ": unknown word " + what);
@@ -361,8 +362,9 @@
       EXPECT_LE(cluster.checker.accepted_at.contains(id) ? cluster.checker.accepted_at[id] : 1e9,
                 number(line, "by", 0))
           << word(line, 2);
-    } else if (what == "done" || what == "withdrawn") {
-      EXPECT_EQ(cluster.last_state[id], what) << word(line, 2);
+    } else if (what == "done" || what == "cancelled") {
+      EXPECT_EQ(cluster.last_state[id], what == "done" ? names::kStateDone : names::kStateCancelled)
+          << word(line, 2);
       if (line.named.contains("by")) {
         EXPECT_LE(cluster.finished_at.contains(id) ? cluster.finished_at[id] : 1e9, number(line, "by", 0))
             << word(line, 2);
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -58,7 +58,7 @@
     for (auto& node : nodes_)
       if (node.controller)
         if (const auto wrong = node.controller->scheduler().audit(); !wrong.empty())
-          checker.breach("books", now_, node.name + ": " + wrong);
+          checker.breach("accounts", now_, node.name + ": " + wrong);
   }
   now_ = time;
 }
@@ -82,7 +82,7 @@
   std::vector<InvariantChecker::FreeCapacity> free_machines;
   for (const auto& [name, w] : workers_) {
     if (!w.up || w.dead || w.gone ||
-        now_ < std::max({w.hung_until, w.outbound_lost_until, w.inbound_lost_until, w.sick_until}))
+        now_ < std::max({w.hung_until, w.outbound_lost_until, w.inbound_lost_until, w.faulty_until}))
       continue;
     const auto type = std::find_if(options_.types.begin(), options_.types.end(),
                                    [&](const auto& t) { return t.name == w.type; });
@@ -217,7 +217,7 @@
     }
     if (injected_violation_ == "accepts_all" && (reply.status == 400 || reply.status == 422))
       reply.status = 201;
-    if (injected_violation_ == "silent" && reply.body.find("\"stage\"") != std::string::npos)
+    if (injected_violation_ == "unanswered" && reply.body.find("\"stage\"") != std::string::npos)
       reply.status = 503;
     if (injected_violation_ == "forgets" && reply.status == 200 &&
         reply.body.find("\"stage\"") != std::string::npos)
@@ -231,8 +231,8 @@
         enter(other, nodes_[other].life,
               [this, other, frame] { nodes_[other].controller->on_frame(clock_reading(), frame); });
       });
-      if (repeats("frame"))
-        after(repeats_.by, [this, other, frame = send.frame] {
+      if (duplicates("frame"))
+        after(duplicates_.by, [this, other, frame = send.frame] {
           enter(other, nodes_[other].life,
                 [this, other, frame] { nodes_[other].controller->on_frame(clock_reading(), frame); });
         });
@@ -252,8 +252,8 @@
     after(call.timeout_s, [answered, finish, id = call.id] {
       if (!std::exchange(*answered, true)) finish(id, 0, "");
     });
-    if (call.service == protocol::Service::kCloud && call.method == "POST" && repeats("cloud"))
-      after(repeats_.by, [this, call] {
+    if (call.service == protocol::Service::kCloud && call.method == "POST" && duplicates("cloud"))
+      after(duplicates_.by, [this, call] {
         if (now_ >= cloud_down_until_) cloud_call(call.method, call.target, call.body);
       });
     if (call.service == protocol::Service::kCloud) {
@@ -289,7 +289,7 @@
         };
         if (now_ < w.inbound_lost_until) return;  // commands don't reach it either
         if (w.repeat_command_by > 0) after(std::exchange(w.repeat_command_by, 0), deliver);
-        if (repeats("command")) after(repeats_.by, deliver);
+        if (duplicates("command")) after(duplicates_.by, deliver);
         if (w.late_command_by > 0)
           after(std::exchange(w.late_command_by, 0), deliver);  // its sender has given up by then
         else if (now_ < w.hung_until)
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -142,7 +142,7 @@
   void cut(const std::string& a, const std::string& b, double for_s, bool hold);
   void hang(const std::string& machine, double for_s);
   void die(const std::string& machine);
-  void sick(const std::string& machine, double for_s);
+  void faulty(const std::string& machine, double for_s);
   void interruption_notice(const std::string& machine, double after_s);
   // Each answer of the state service takes up to so long.
   void slow_state(double by_s, double for_s) {
@@ -163,10 +163,10 @@
   void repeat_command(const std::string& machine, double by_s);
   // The controller loses the state service and the other controllers, but not its workers and users.
   // With `reset` its links to the others break at once, and are back afterwards.
-  void apart(int node, double for_s, bool reset = false);
+  void isolate(int node, double for_s, bool reset = false);
   // Users ask ten times a second about each accepted job.
   void polls_storm(double for_s);
-  void lose_answers(const std::string& machine, double for_s);
+  void lose_inbound(const std::string& machine, double for_s);
   // The controller stands still while its clocks run on; all that reached it is worked through afterwards.
   void freeze(int node, double for_s);
   // Its heartbeats reach no controller; direct commands get there.
@@ -195,11 +195,11 @@
   // Users repeat submissions, cancel jobs that are done, ask for unknown ids, and send what can't run.
   void odd_requests(double for_s);
   // For some time each message of these kinds is delivered once more, so much later.
-  struct Repeats {
+  struct Duplicates {
     double by = 0, until = -1;
     std::set<std::string> kinds;  // txn, cloud, command, user, frame, heartbeat
   };
-  void repeat(Repeats repeats) { repeats_ = std::move(repeats); }
+  void duplicate(Duplicates duplicates) { duplicates_ = std::move(duplicates); }
   void inject_violation(const std::string& how) { injected_violation_ = how; }
   // The controller has quota leases on or off from its next start on.
   void switch_leases(int node, bool on) { nodes_[node].leases = on; }
@@ -241,7 +241,7 @@
   struct Worker {
     std::string name, type, zone, addr;
     bool spot = false, up = false, dead = false, gone = false;
-    double boots_at = 0, hung_until = -1, sick_until = -1, taken_at = -1, provisioned_at = 0,
+    double boots_at = 0, hung_until = -1, faulty_until = -1, taken_at = -1, provisioned_at = 0,
            inbound_lost_until = -1, outbound_lost_until = -1;
     bool hold_heartbeat = false;
     std::uint64_t agent_epoch = 1, seq = 0, fencing_token = 0;
@@ -272,7 +272,9 @@
   protocol::ClockReading clock_reading() const {
     return {1000 + now_, 1'700'000'000'000 + static_cast<std::int64_t>(now_ * 1000)};
   }
-  bool repeats(const char* kind) const { return now_ < repeats_.until && repeats_.kinds.contains(kind); }
+  bool duplicates(const char* kind) const {
+    return now_ < duplicates_.until && duplicates_.kinds.contains(kind);
+  }
   void start_node(int node);
   // An event for this life of the controller: now, or when it moves again.
   void enter(int node, std::uint64_t life, std::function<void()> event);
@@ -334,7 +336,7 @@
   std::map<protocol::JobId, std::set<std::uint32_t>> results_;
   std::map<protocol::JobId, double> run_s_;
   std::string injected_violation_;
-  Repeats repeats_;
+  Duplicates duplicates_;
   double end_share_ = 0, end_until_ = -1;
   double late_share_ = 0, late_share_by_ = 0, late_share_until_ = -1;
   double link_by_ = 0, link_until_ = -1, watches_lost_until_ = -1;
--- a/tests/simulated_cluster_faults.cpp
+++ b/tests/simulated_cluster_faults.cpp
@@ -13,10 +13,10 @@
 void SimulatedCluster::hang(const std::string& machine, double for_s) {
   workers_.at(machine).hung_until = now_ + for_s;
 }
-void SimulatedCluster::sick(const std::string& machine, double for_s) {
-  workers_.at(machine).sick_until = now_ + for_s;
+void SimulatedCluster::faulty(const std::string& machine, double for_s) {
+  workers_.at(machine).faulty_until = now_ + for_s;
 }
-void SimulatedCluster::lose_answers(const std::string& machine, double for_s) {
+void SimulatedCluster::lose_inbound(const std::string& machine, double for_s) {
   workers_.at(machine).inbound_lost_until = now_ + for_s;
 }
 
@@ -152,7 +152,7 @@
   worker.next_heartbeat = now_;
 }
 
-void SimulatedCluster::apart(int node, double for_s, bool reset) {
+void SimulatedCluster::isolate(int node, double for_s, bool reset) {
   for (int other = 0; reset && other < options_.controllers; ++other) {
     if (other == node) continue;
     link(node, other, false), link(other, node, false);
--- a/tests/simulated_cluster_leases.cpp
+++ b/tests/simulated_cluster_leases.cpp
@@ -24,7 +24,7 @@
   for (const auto& node : nodes_) {
     if (!node.controller) continue;
     if (const auto wrong = node.controller->quota_leases().audit(); !wrong.empty())
-      checker.breach("books", now_, node.name + ": " + wrong);
+      checker.breach("accounts", now_, node.name + ": " + wrong);
     const auto& lessee = node.controller->quota_leases().lessee();
     if (!lessee.valid(clock_reading().steady)) continue;
     for (const auto& [job, grant] : lessee.grants()) promised[job] += grant.tasks;
--- a/tests/simulated_cluster_state_service.cpp
+++ b/tests/simulated_cluster_state_service.cpp
@@ -38,8 +38,8 @@
       });
       return;
     }
-    if (!refused && call.target == n::kPathTxn && repeats("txn"))
-      after(repeats_.by, [this, call] {
+    if (!refused && call.target == n::kPathTxn && duplicates("txn"))
+      after(duplicates_.by, [this, call] {
         state_call(call.method, call.target, call.body);
         state_changed();
       });
--- a/tests/simulated_cluster_users.cpp
+++ b/tests/simulated_cluster_users.cpp
@@ -24,8 +24,8 @@
 void SimulatedCluster::try_submit(JobSpec spec, double since) {
   if (now_ - since > 60) return;
   const int node = static_cast<int>(random_() % nodes_.size());
-  if (repeats("user") && now_ == since)
-    after(repeats_.by, [this, spec, since] { try_submit(spec, since + repeats_.by); });
+  if (duplicates("user") && now_ == since)
+    after(duplicates_.by, [this, spec, since] { try_submit(spec, since + duplicates_.by); });
   auto answered = std::make_shared<bool>(false);
   const auto again = [this, spec, since] { after(1, [this, spec, since] { try_submit(spec, since); }); };
   after(5, [answered, again] {
@@ -56,7 +56,7 @@
   if (!checker.accepted(id)) return after(0.05, [this, id] { cancel(id); });
   checker.cancel_requested(id);
   try_cancel(id);
-  if (repeats("user")) after(repeats_.by, [this, id] { try_cancel(id); });
+  if (duplicates("user")) after(duplicates_.by, [this, id] { try_cancel(id); });
 }
 
 void SimulatedCluster::try_cancel(JobId id) {
--- a/tests/simulated_cluster_workers.cpp
+++ b/tests/simulated_cluster_workers.cpp
@@ -75,7 +75,7 @@
     switch (task.phase) {
       case TaskPhase::kFetching:
         if (now_ < task.ready_at) break;
-        if (now_ < worker.sick_until) {
+        if (now_ < worker.faulty_until) {
           task.phase = TaskPhase::kExited;
           task.exit_reason = ExitReason::kError;
           worker.changed = true;
@@ -221,8 +221,8 @@
   if (now_ < worker.outbound_lost_until) return;  // no connection to any controller
   if (std::exchange(worker.hold_heartbeat, false))
     return deliver_held(name, protocol::heartbeat_json(heartbeat), leader(), now_ + 120);
-  if (worker.copy_by > 0 || repeats("report")) {
-    const double by = worker.copy_by > 0 ? std::exchange(worker.copy_by, 0) : repeats_.by;
+  if (worker.copy_by > 0 || duplicates("heartbeat")) {
+    const double by = worker.copy_by > 0 ? std::exchange(worker.copy_by, 0) : duplicates_.by;
     after(by, [this, name, body = protocol::heartbeat_json(heartbeat)] {
       for (int i = 0; i < options_.controllers; ++i)
         request(i, "workers-" + workers_.at(name).zone, "POST", n::kPathHeartbeat, body,
