--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -26,6 +26,8 @@
 inline constexpr double kBootFactor = 2.5;
 /// Seconds added to that time.
 inline constexpr double kBootSlackS = 5.0;
+/// Unit: s. Assumed boot time of a machine whose type is not in the catalog.
+inline constexpr double kUnknownBootS = 60;
 /// Times the nominal boot time that the protocol calls usual.
 inline constexpr double kBootUsual = 1.5;
 /// Boots of a type that its usual time is known by.
--- a/src/coordination/fleet/boot_times.hpp
+++ b/src/coordination/fleet/boot_times.hpp
@@ -1,4 +1,5 @@
-// How long machines of each type took to come up lately, and from when on one counts as late.
+/// @file
+/// How long machines of each type took to boot lately.
 #pragma once
 
 #include <deque>
@@ -9,15 +10,17 @@
 
 namespace robinford::coordination {
 
+/// Keeps the last boot times of each machine type, and tells from when on a boot counts as late.
 class BootTimes {
  public:
+  /// A machine of the type was up `seconds` after its provisioning request.
   void record(const std::string& type, double seconds);
-  // Seconds after its provisioning request from which a machine is not counted on any more, and a replacement
-  // is provisioned.
+  /// Seconds after its provisioning request from which a machine is not counted on any more and a replacement
+  /// is provisioned.
   double late_after(const protocol::MachineType& type) const;
 
  private:
-  std::map<std::string, std::deque<double>> recent_;
+  std::map<std::string, std::deque<double>> recent_;  // by type, oldest first
 };
 
 }  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/fleet/scale_out.cpp
@@ -0,0 +1,352 @@
+#include "coordination/fleet/scale_out.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+
+#include "constants.hpp"
+#include "coordination/fleet/fleet_figures.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+using bookkeeping::Job;
+using bookkeeping::JobState;
+using bookkeeping::Machine;
+using bookkeeping::MachineState;
+using protocol::JobSpec;
+using protocol::MachineType;
+
+namespace {
+
+Resources resources_of(const MachineType& type) { return {type.cpus, type.gpus, type.memory_gb}; }
+
+// A job that fails on every machine must not make the fleet grow.
+bool fails_everywhere(const Job& job) {
+  return static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines;
+}
+
+bool is_active_array(const Job& job) { return !job.spec.gang && job.state == JobState::kActive; }
+
+bool allows(const JobSpec& spec, const CapacityPool& pool) {
+  return kind_allowed(spec, pool.type, pool.zone, pool.spot);
+}
+
+}  // namespace
+
+ScaleOut::ScaleOut(ControllerContext& context, const Scheduler& scheduler, const CloudClient& cloud,
+                   const ZoneHealth& zones)
+    : context_(context), scheduler_(scheduler), cloud_(cloud), zones_(zones) {}
+
+PoolCounts ScaleOut::plan() {
+  count_capacity();
+  update_needed_cores();
+  Plan plan;
+  plan.fleet = forecast_fleet();
+  plan_gangs(plan);
+  plan_spare_machines(plan);
+  plan_arrays(plan);
+  return plan.missing;
+}
+
+void ScaleOut::log_figures() const {
+  spdlog::debug(
+      "fleet: {} gangs wait and claim {:.0f} cores, arrays have {:.0f} and need {:.0f} (due times {:.0f}, "
+      "arrivals {:.0f}), "
+      "backlog {:.0f} core seconds, {} spare machines for gangs",
+      scheduler_.waiting_gangs().size(), gang_claim_, array_capacity_, needed_cores_, cores_for_due_times(),
+      scheduler_.array_load(shortest_boot_s(context_)), backlog_core_s(),
+      spare_gang_machines(context_, scheduler_));
+}
+
+// ---------------------------------------------------------------- capacity
+
+void ScaleOut::count_capacity() {
+  machines_by_zone_.clear();
+  array_capacity_ = 0;
+  gang_claim_ = 0;
+  for (const auto& [name, machine] : context_.machines.all()) {
+    if (machine.state != MachineState::kGone) ++machines_by_zone_[machine.zone];
+    if (is_usable(machine)) array_capacity_ += array_cores(machine);
+  }
+  for (const auto& request : cloud_.requests()) {
+    const auto type = context_.types.find(request.pool.type);
+    if (type != context_.types.end()) array_capacity_ += type->second.cpus * request.count;
+  }
+}
+
+void ScaleOut::update_needed_cores() {
+  const double now = context_.now.steady;
+  const double needed = std::max(cores_for_due_times(), scheduler_.array_load(shortest_boot_s(context_)));
+  const double kept_share = needed_at_ > 0 ? std::exp(-(now - needed_at_) / c::kNeedFallS) : 0;
+  needed_cores_ = std::max(needed, needed + (needed_cores_ - needed) * kept_share);
+  // The rest of a need that fell must not keep the last machine for ever.
+  if (needed_cores_ < needed + c::kNeedLeast) needed_cores_ = needed;
+  needed_at_ = now;
+}
+
+std::vector<ScaleOut::ForecastGroup> ScaleOut::forecast_fleet() const {
+  std::map<std::tuple<CapacityPool, double, double, double>, int> alike;
+  const auto add = [&](const CapacityPool& pool, const Resources& free, int count) {
+    if (free.cpus > 0) alike[{pool, free.cpus, free.gpus, free.memory_gb}] += count;
+  };
+  for (auto& [name, machine] : context_.machines.all())
+    if (is_usable(machine))
+      add({machine.type, machine.zone, machine.spot}, free_resources(context_, machine), 1);
+  for (const auto& request : cloud_.requests()) {
+    const auto type = context_.types.find(request.pool.type);
+    if (type != context_.types.end()) add(request.pool, resources_of(type->second), request.count);
+  }
+  std::vector<ForecastGroup> fleet;
+  for (const auto& [key, count] : alike) {
+    const auto& [pool, cpus, gpus, memory_gb] = key;
+    fleet.push_back({pool, {cpus, gpus, memory_gb}, count});
+  }
+  return fleet;
+}
+
+// A machine that boots later than usual for its type is not waited for: another is provisioned for the work,
+// and whichever is not needed in the end is returned.
+bool ScaleOut::is_coming(const Machine& machine) const {
+  const auto type = context_.types.find(machine.type);
+  if (type != context_.types.end() &&
+      context_.now.steady - machine.provisioned_at > context_.boots.late_after(type->second))
+    return false;
+  return machine.state == MachineState::kBooting && machine.provisioned_at > 0 && !machine.listed_failed &&
+         !zones_.unresponsive(machine.zone);
+}
+
+bool ScaleOut::is_usable(const Machine& machine) const {
+  return is_coming(machine) || takes_work(context_, machine);
+}
+
+// ---------------------------------------------------------------- gangs
+
+void ScaleOut::plan_gangs(Plan& plan) {
+  std::map<std::string, double> used_by_team;
+  for (const Job* job : scheduler_.waiting_gangs()) {
+    const JobSpec& spec = job->spec;
+    const auto* team = context_.settings.team(spec.team);
+    if (team == nullptr || fails_everywhere(*job)) continue;
+    const auto entry = used_by_team.try_emplace(spec.team, context_.quota.usage(spec.team).cpus).first;
+    double& used = entry->second;
+    if (used + spec.cpus * spec.tasks > team->cpus_max) continue;
+    used += spec.cpus * spec.tasks;
+    plan_gang(spec, plan);
+  }
+}
+
+void ScaleOut::plan_gang(const JobSpec& spec, Plan& plan) {
+  const std::string only_zone = spec.one_zone ? zone_for(spec, plan) : std::string();
+  const std::uint32_t left = pack_into_forecast(spec, only_zone, plan);
+  add_missing_for(spec, only_zone, left, plan);
+}
+
+// A one-zone gang is helped by capacity in one zone only: where most of it is there or coming.
+std::string ScaleOut::zone_for(const JobSpec& spec, const Plan& plan) const {
+  std::map<std::string, std::uint32_t> slots_by_zone;
+  for (const auto& group : plan.fleet)
+    if (allows(spec, group.pool)) slots_by_zone[group.pool.zone] += group.count * group.free.tasks_of(spec);
+  std::string best;
+  std::uint32_t most = 0;
+  for (const auto& [zone, slots] : slots_by_zone) {
+    if (slots <= most) continue;
+    best = zone;
+    most = slots;
+  }
+  if (!best.empty()) return best;
+  const auto pool = cheapest_pool(spec, plan.missing, "");
+  return pool ? pool->zone : std::string();
+}
+
+// Takes the capacity that the gang will use out of the forecast; returns the tasks that found none.
+std::uint32_t ScaleOut::pack_into_forecast(const JobSpec& spec, const std::string& only_zone, Plan& plan) {
+  std::uint32_t left = spec.tasks;
+  // Groups of one machine, partly used, are appended on the way and looked at as well.
+  for (std::size_t i = 0; i < plan.fleet.size() && left > 0; ++i) {
+    ForecastGroup& group = plan.fleet[i];
+    if (!only_zone.empty() && group.pool.zone != only_zone) continue;
+    if (group.count == 0 || !allows(spec, group.pool)) continue;
+    const std::uint32_t tasks_each = group.free.tasks_of(spec);
+    if (tasks_each == 0) continue;
+    const int machines = std::min<int>(group.count, static_cast<int>((left + tasks_each - 1) / tasks_each));
+    const std::uint32_t on_full = (machines - 1) * tasks_each;
+    const std::uint32_t on_last = std::min(tasks_each, left - on_full);
+    group.count -= machines;
+    left -= on_full + on_last;
+    // Capacity that waiting gangs will take is not there for arrays, also while it boots.
+    gang_claim_ += (on_full + on_last) * spec.cpus;
+    ForecastGroup rest_of_last = group;
+    rest_of_last.count = 1;
+    rest_of_last.free.take(spec, on_last);
+    if (rest_of_last.free.cpus > 0) plan.fleet.push_back(rest_of_last);
+  }
+  return left;
+}
+
+void ScaleOut::add_missing_for(const JobSpec& spec, const std::string& only_zone, std::uint32_t tasks,
+                               Plan& plan) const {
+  for (std::uint32_t left = tasks; left > 0;) {
+    const auto pool = cheapest_pool(spec, plan.missing, only_zone);
+    if (!pool) return;
+    ForecastGroup machine{*pool, resources_of(context_.types.at(pool->type)), 1};
+    const std::uint32_t taken = std::min(left, machine.free.tasks_of(spec));
+    machine.free.take(spec, taken);
+    left -= taken;
+    ++plan.missing[*pool];
+    plan.fleet.push_back(machine);
+  }
+}
+
+// Machines for the gangs that will arrive while one boots: as many free ones are kept ready or on their way.
+void ScaleOut::plan_spare_machines(Plan& plan) const {
+  const JobSpec* typical = scheduler_.typical_gang();
+  if (typical == nullptr) return;
+  int ready = 0;
+  for (const auto& group : plan.fleet)
+    if (allows(*typical, group.pool) && group.free.fits(*typical)) ready += group.count;
+  // Only as many as are nearly sure to be used: with few arrivals their number scatters too much.
+  const double mean = spare_gang_machines(context_, scheduler_);
+  const int wanted = static_cast<int>(std::floor(mean - std::sqrt(mean)));
+  for (int left = wanted - ready; left > 0; --left) {
+    const auto pool = cheapest_pool(*typical, plan.missing, "");
+    if (!pool) return;
+    ++plan.missing[*pool];
+  }
+}
+
+// ---------------------------------------------------------------- arrays
+
+// The array with most unplaced work decides which machines suit; with all placed, the one with most left.
+const Job* ScaleOut::typical_array() const {
+  const Job* typical = nullptr;
+  const auto weight = [](const Job& job) {
+    return std::tuple(job.unplaced() * job.spec.cpus, job.remaining() * job.spec.cpus);
+  };
+  for (const auto& [id, job] : context_.jobs.all()) {
+    if (!is_active_array(*job) || job->remaining() == 0) continue;
+    if (typical == nullptr || weight(*job) > weight(*typical)) typical = job.get();
+  }
+  return typical;
+}
+
+void ScaleOut::plan_arrays(Plan& plan) const {
+  const Job* typical = typical_array();
+  if (typical == nullptr) return;
+  const auto first = cheapest_pool(typical->spec, plan.missing, "");
+  if (!first) return;
+  const MachineType& offered = context_.types.at(first->type);
+  const double offered_price = first->spot ? offered.spot_price : offered.price;
+  // Capacity that costs far more than what is to be had does not count: the cheaper is provisioned, and then
+  // the dearer is drained. Waiting gangs take the dear capacity first, as far as it goes.
+  const double overpriced = overpriced_cores(offered_price / offered.cpus * c::kOverpricedRatio);
+  const double have = array_capacity_ - std::max(overpriced, gang_claim_);
+  if (needed_cores_ <= have) return;
+  // A machine that is provisioned now helps only with what is left once it is up, and has to find work for at
+  // least as long as it booted. The load of steady arrivals will be there then; a backlog may be gone.
+  const double boot_s = std::max(1.0, offered.boot_s);
+  const double backlog_after_boot = backlog_core_s() - have * boot_s;
+  const double for_backlog = std::min(needed_cores_ - have, backlog_after_boot / (boot_s * c::kWorthBoots));
+  const double for_arrivals = scheduler_.array_load(shortest_boot_s(context_)) - have;
+  for (double left = std::max(for_backlog, for_arrivals); left > 0;) {
+    const auto pool = cheapest_pool(typical->spec, plan.missing, "");
+    if (!pool) return;
+    const double cores = context_.types.at(pool->type).cpus;
+    if (left < cores / 2 && have > 0) return;  // less than half a machine waits for capacity
+    ++plan.missing[*pool];
+    left -= cores;
+  }
+}
+
+// The rate, in cores, at which the array's work has to be done to be in time.
+double ScaleOut::cores_in_time(const Job& job, double boot_s) const {
+  const double run_s = std::max(1.0, scheduler_.run_times().expected(job));
+  // The last task should begin a run before the end, so the work has to be under way in what is left. What
+  // has no capacity yet has to be under way in what is left once a machine provisioned for it is up. Work
+  // that can't be in time any more has no end to meet: it takes what capacity there is, at the pace of its
+  // lateness so far.
+  const auto pace = [&](double cores, double left_s, double runs_before) {
+    const double window_s =
+        left_s > run_s ? std::max(run_s, left_s - runs_before * run_s) : c::kLateWindowRuns * run_s;
+    return std::min(cores, cores * run_s / window_s);
+  };
+  const double left_s = scheduler_.time_left(job);
+  const double waiting = pace(job.unplaced() * job.spec.cpus, left_s - boot_s, c::kLastTasksRuns);
+  const double spread = std::max(pace(job.remaining() * job.spec.cpus, left_s, 1), waiting);
+  // Where all the time allowed is hardly longer than a boot, capacity that is in use now will be wanted
+  // again before a new machine would be up: it counts in full.
+  const double age_s = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
+  const double allowed_s = std::max(1.0, left_s + std::max(0.0, age_s));
+  const double tight_share = std::min(1.0, c::kTightBoots * boot_s / allowed_s);
+  return tight_share * (job.runs.size() * job.spec.cpus + waiting) + (1 - tight_share) * spread;
+}
+
+double ScaleOut::cores_for_due_times() const {
+  const double boot_s = shortest_boot_s(context_);
+  std::map<std::string, double> cores_by_team;
+  for (const auto& [id, job] : context_.jobs.all()) {
+    if (!is_active_array(*job) || fails_everywhere(*job)) continue;
+    cores_by_team[job->spec.team] += cores_in_time(*job, boot_s);
+  }
+  double needed = 0;
+  for (const auto& [name, cores] : cores_by_team)
+    if (const auto* team = context_.settings.team(name)) needed += std::min(cores, team->cpus_max);
+  return needed;
+}
+
+// Core seconds of array work that is accepted and not done.
+double ScaleOut::backlog_core_s() const {
+  double work = 0;
+  for (const auto& [id, job] : context_.jobs.all()) {
+    if (!is_active_array(*job) || fails_everywhere(*job)) continue;
+    const double tasks = job->unplaced() + 0.5 * job->runs.size();
+    work += tasks * job->spec.cpus * scheduler_.run_times().expected(*job);
+  }
+  return work;
+}
+
+// Array capacity on machines without a gang that cost more a core than the limit. Beside a gang it costs
+// nothing more.
+double ScaleOut::overpriced_cores(double price_per_core_limit) const {
+  double cores = 0;
+  for (const auto& [name, machine] : context_.machines.all())
+    if (is_usable(machine) && !scheduler_.has_gang(machine) &&
+        price_per_core(context_, machine) > price_per_core_limit)
+      cores += array_cores(machine);
+  return cores;
+}
+
+// ---------------------------------------------------------------- pools
+
+// The cheapest pool for tasks like these, price for each task that fits. Unresponsive zones come last: what
+// boots there can't reach this leader. At equal prices the zone with fewest machines, so that the loss of one
+// zone does not take all.
+std::optional<CapacityPool> ScaleOut::cheapest_pool(const JobSpec& spec, const PoolCounts& missing,
+                                                    const std::string& only_zone) const {
+  std::optional<CapacityPool> best;
+  std::tuple<bool, double, int> best_rank;
+  const auto consider = [&](const CapacityPool& pool, double price) {
+    if (!allows(spec, pool) || !cloud_.may_have_capacity(pool)) return;
+    const auto planned = missing.find(pool);
+    const auto present = machines_by_zone_.find(pool.zone);
+    const int machines = (planned == missing.end() ? 0 : planned->second) +
+                         (present == machines_by_zone_.end() ? 0 : present->second);
+    const std::tuple rank(zones_.unresponsive(pool.zone), price, machines);
+    if (best && rank >= best_rank) return;
+    best = pool;
+    best_rank = rank;
+  };
+  for (const auto& [name, type] : context_.types) {
+    const std::uint32_t tasks = resources_of(type).tasks_of(spec);
+    if (tasks == 0) continue;
+    for (const auto& zone : type.zones) {
+      if (!only_zone.empty() && zone != only_zone) continue;
+      consider({name, zone, false}, type.price / tasks);
+      consider({name, zone, true}, type.spot_price / tasks);
+    }
+  }
+  return best;
+}
+
+}  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/fleet/zone_health.cpp
@@ -0,0 +1,46 @@
+#include "coordination/fleet/zone_health.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "constants.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+using bookkeeping::Machine;
+using bookkeeping::MachineState;
+
+bool ZoneHealth::is_quiet(const Machine& machine, double serving_since_s) const {
+  const double patience_s = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  if (context_.now.steady - std::max(machine.last_heartbeat, serving_since_s) > patience_s) return true;
+  return !machine.sent_heartbeat && machine.probe_failures >= c::kProbesEnough;
+}
+
+void ZoneHealth::update(double serving_since_s) {
+  const double now = context_.now.steady;
+  std::map<std::string, Count> zones;
+  Count all;
+  for (const auto& [name, machine] : context_.machines.all()) {
+    if (machine.state == MachineState::kGone || !(machine.sent_heartbeat || machine.unreconciled)) continue;
+    Count& zone = zones[machine.zone];
+    const bool quiet = is_quiet(machine, serving_since_s);
+    ++(quiet ? zone.quiet : zone.responsive);
+    ++(quiet ? all.quiet : all.responsive);
+  }
+  if (all.responsive < all.quiet) {
+    unresponsive_since_.clear();
+    return;
+  }
+  for (const auto& [zone, count] : zones) {
+    if (count.quiet >= c::kZoneOutLeast && count.quiet > count.responsive) {
+      if (!unresponsive(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
+      unresponsive_since_[zone] = now;
+    } else if (count.responsive > 0 && unresponsive_since_.erase(zone) > 0) {
+      spdlog::info("zone {} responds again", zone);
+    }
+  }
+  std::erase_if(unresponsive_since_, [&](const auto& entry) { return now - entry.second > c::kZoneOutS; });
+}
+
+}  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/fleet/zone_health.hpp
@@ -0,0 +1,37 @@
+/// @file
+/// Which zones are cut off from this leader.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "coordination/controller_context.hpp"
+
+namespace robinford::coordination {
+
+/// Judges zones by the heartbeats of their machines. A zone is unresponsive when most of its machines that
+/// should send heartbeats do not; it stays so until one of them does, or for `kZoneOutS` after the last of
+/// them was given up. When hardly anything arrives from any zone, the fault is on this side and no zone
+/// counts.
+class ZoneHealth {
+ public:
+  explicit ZoneHealth(ControllerContext& context) : context_(context) {}
+
+  void clear() { unresponsive_since_.clear(); }
+  /// Looks at all machines. `serving_since_s`: steady time since which this leader serves; before it, nobody
+  /// could send it heartbeats.
+  void update(double serving_since_s);
+  bool unresponsive(const std::string& zone) const { return unresponsive_since_.contains(zone); }
+
+ private:
+  struct Count {
+    int responsive = 0;
+    int quiet = 0;
+  };
+  bool is_quiet(const bookkeeping::Machine& machine, double serving_since_s) const;
+
+  ControllerContext& context_;
+  std::map<std::string, double> unresponsive_since_;  // zone -> steady time when that was last seen
+};
+
+}  // namespace robinford::coordination
