--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -46,10 +46,10 @@
 inline constexpr double kOverdueLeadS = 10.0;
 /// Seconds before its end at the latest, where a new leader gives machines time to send a heartbeat.
 inline constexpr double kOverdueLastS = 5.0;
-/// Unit: s. Random wait before a claim, so that claims rarely collide.
-inline constexpr double kClaimJitterS = 0.12;
-/// Unit: s. Pause after a failed claim.
-inline constexpr double kClaimRetryS = 0.4;
+/// Unit: s. Random wait before a campaign, so that campaigns rarely collide.
+inline constexpr double kCampaignJitterS = 0.12;
+/// Unit: s. Pause after a failed campaign.
+inline constexpr double kCampaignRetryS = 0.4;
 /// Unit: s. How long one watch is left open.
 inline constexpr double kWatchWaitS = 10.0;
 /// Unit: s. After the watch's own time, before it counts as lost.
--- /dev/null
+++ b/src/coordination/election/leader_records.hpp
@@ -0,0 +1,46 @@
+/// @file
+/// The two records behind an election: the leader key, which lives as long as the leader's lease, and the
+/// term record, which stays.
+#pragma once
+
+#include <boost/json.hpp>
+#include <cstdint>
+#include <optional>
+#include <string>
+
+namespace robinford::coordination {
+
+/// Key of the record of the present leader. It is attached to the leader's lease.
+inline constexpr char kLeaderKey[] = "lead";
+/// Key of the record of the last term that began.
+inline constexpr char kTermKey[] = "term";
+
+/// The process that leads, and its term, which is the fencing token of its commands.
+struct LeaderRecord {
+  std::string member;
+  std::uint64_t incarnation = 0;
+  std::uint64_t term = 0;
+
+  boost::json::object encode() const;
+  /// Missing fields are left empty: the record was written by another version, or there is none.
+  static LeaderRecord decode(const boost::json::value& value);
+};
+
+/// What a leader leaves for its successors about itself and all leaders before it.
+struct TermRecord {
+  std::string member;
+  std::uint64_t incarnation = 0;
+  std::uint64_t term = 0;
+  /// First term whose leader and all later ones put on record which machines they do not answer; 0: unknown.
+  std::uint64_t records_since = 0;
+  /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was none.
+  std::int64_t former_stopped_wall_ms = 0;
+  /// How long this leader may answer heartbeats once another one is elected; nothing in records of versions
+  /// that did not say it.
+  std::optional<std::int64_t> answer_ms;
+
+  boost::json::object encode() const;
+  static TermRecord decode(const boost::json::value& value);
+};
+
+}  // namespace robinford::coordination
--- a/src/coordination/election/peer_versions.cpp
+++ b/src/coordination/election/peer_versions.cpp
@@ -28,8 +28,8 @@
 }
 
 void PeerVersions::tick() {
-  if (busy_ || context_.now.steady < next_look_) return;
-  if (registered_ && complete_ && all_present_known()) return;
+  if (call_in_flight_ || context_.now.steady < next_look_) return;
+  if (registered_ && complete_ && all_present_are_registered()) return;
   next_look_ = context_.now.steady + c::kVersionsEveryS;
   if (!registered_) return register_self();
   read_registry();
@@ -54,39 +54,42 @@
   return found != members_.end() && found->second.quota_leases && understands_dependencies(member);
 }
 
-bool PeerVersions::all_present_known() const {
+bool PeerVersions::all_present_are_registered() const {
   return std::all_of(members_.begin(), members_.end(), [](const auto& entry) {
     return entry.second.present == 0 || entry.second.present == entry.second.registered;
   });
 }
 
 void PeerVersions::register_self() {
-  busy_ = true;
-  const std::string key = kPrefix + context_.settings.member;
-  context_.state.read(key, [this, key](const StateRead& read) {
-    if (read.found == StateRead::Found::kUnknown) {
-      busy_ = false;
-      return;
-    }
-    json::object record;
-    record[kLevel] = c::kFeatureLevel;
-    record[kIncarnation] = context_.incarnation;
-    if (offers_quota_leases_) record[kQuotaLeases] = true;
-    context_.writer.submit({{key, read.mod_revision, std::move(record)}},
-                           [this](WriteOutcome outcome, std::uint64_t) {
-                             busy_ = false;
-                             registered_ = outcome == WriteOutcome::kDone;
-                             next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
-                           });
+  call_in_flight_ = true;
+  context_.state.read(kPrefix + context_.settings.member, [this](const StateRead& read) {
+    if (read.found == StateRead::Found::kUnknown)
+      call_in_flight_ = false;
+    else
+      write_registration(read.mod_revision);
   });
 }
 
+void PeerVersions::write_registration(std::uint64_t mod_revision) {
+  json::object record;
+  record[kLevel] = c::kFeatureLevel;
+  record[kIncarnation] = context_.incarnation;
+  if (offers_quota_leases_) record[kQuotaLeases] = true;
+  context_.writer.submit({{kPrefix + context_.settings.member, mod_revision, std::move(record)}},
+                         [this](WriteOutcome outcome, std::uint64_t) {
+                           call_in_flight_ = false;
+                           registered_ = outcome == WriteOutcome::kDone;
+                           next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
+                         });
+}
+
 void PeerVersions::read_registry() {
-  busy_ = true;
+  call_in_flight_ = true;
   context_.state.list(kPrefix, "", [this](const std::optional<StatePage>& page) {
-    busy_ = false;
+    call_in_flight_ = false;
     if (!page) return;
-    for (const auto& item : page->items) take(item.key.substr(std::string(kPrefix).size()), item.value);
+    for (const auto& item : page->items)
+      apply_registration(item.key.substr(std::string(kPrefix).size()), item.value);
     const bool all = std::all_of(members_.begin(), members_.end(),
                                  [](const auto& entry) { return entry.second.registered != 0; });
     if (all && !complete_) spdlog::info("rolling upgrade: every controller knows dependencies");
@@ -94,7 +97,7 @@
   });
 }
 
-void PeerVersions::take(const std::string& member, const json::value& record) {
+void PeerVersions::apply_registration(const std::string& member, const json::value& record) {
   const auto found = members_.find(member);
   if (found == members_.end() || protocol::count_field(record, kLevel) < c::kFeatureLevel) return;
   found->second.registered = protocol::count_field(record, kIncarnation);
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -1,6 +1,5 @@
-// Which controllers run a version that knows dependencies. Each such process registers itself in the state
-// service under its incarnation; an older version neither writes nor reads these keys, and meets no new
-// frame. A member whose present process is not registered counts as old.
+/// @file
+/// Which controllers run a version that knows dependencies, for rolling upgrades.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +10,44 @@
 
 namespace robinford::coordination {
 
+/// The registry of versions in the key-value store. Each process registers itself under its member name with
+/// its incarnation and feature level; versions before the registry neither write nor read these keys, and are
+/// sent no frame that they do not know. A member whose present process has not registered counts as old.
 class PeerVersions {
  public:
   explicit PeerVersions(ControllerContext& context);
 
   void tick();
-  // The process that the member's last status came from.
+  /// The process from which the member's last status came.
   void observe(const std::string& member, std::uint64_t incarnation);
-  // The member's present process is known to understand dependencies.
+  /// The member's present process is known to understand dependencies.
   bool understands_dependencies(const std::string& member) const;
-  // The member's present process hands out quota leases when it leads.
+  /// The member's present process hands out quota leases when it leads.
   bool serves_quota_leases(const std::string& member) const;
-  // This process does so. To be said before the first tick.
+  /// This process hands out quota leases when it leads. Has to be called before the first tick.
   void offer_quota_leases() { offers_quota_leases_ = true; }
-  // Every controller has registered once: the rolling upgrade is over, and stays so for this process.
+  /// Every controller has registered once: the rolling upgrade is over, and stays so for this process.
   bool upgrade_complete() const { return complete_; }
 
  private:
   struct Member {
     std::uint64_t registered = 0;  // incarnation of the process that registered last
-    std::uint64_t present = 0;     // incarnation heard last; 0: none yet
+    std::uint64_t present = 0;     // incarnation seen last; 0: none yet
     bool quota_leases = false;     // of the registered process
   };
   void register_self();
+  void write_registration(std::uint64_t mod_revision);
   void read_registry();
-  void take(const std::string& member, const boost::json::value& record);
-  bool all_present_known() const;
+  void apply_registration(const std::string& member, const boost::json::value& record);
+  bool all_present_are_registered() const;
 
   ControllerContext& context_;
   std::map<std::string, Member> members_;  // all others that the settings name
   bool offers_quota_leases_ = false;
-  bool registered_ = false, busy_ = false, complete_ = false;
-  double next_look_ = 0;
+  bool registered_ = false;
+  bool call_in_flight_ = false;
+  bool complete_ = false;
+  double next_look_ = 0;  // steady
 };
 
 }  // namespace robinford::coordination
