--- /dev/null
+++ b/src/bookkeeping/job.cpp
@@ -0,0 +1,94 @@
+/// @file
+/// Names of a job's states, and the order in which its tasks are placed.
+#include "bookkeeping/job.hpp"
+
+#include "protocol/names.hpp"
+
+namespace robinford::bookkeeping {
+
+const char* to_text(FinalState state) {
+  return state == FinalState::kDone ? names::kStateDone : names::kStateCancelled;
+}
+
+const char* to_text(RunState state) {
+  switch (state) {
+    case RunState::kPlanned:
+      return "planned";
+    case RunState::kLaunched:
+      return "launched";
+    case RunState::kPresent:
+      return "present";
+    case RunState::kStopping:
+      return "stopping";
+  }
+  return "?";
+}
+
+const char* to_text(JobState state) {
+  switch (state) {
+    case JobState::kWaiting:
+      return "waiting";
+    case JobState::kActive:
+      return "active";
+    case JobState::kCompleting:
+      return "completing";
+    case JobState::kCancelling:
+      return "cancelling";
+    case JobState::kOver:
+      return "over";
+  }
+  return "?";
+}
+
+const char* to_text(GangState state) {
+  switch (state) {
+    case GangState::kQueued:
+      return "queued";
+    case GangState::kReserving:
+      return "reserving";
+    case GangState::kLaunching:
+      return "launching";
+    case GangState::kRunning:
+      return "running";
+    case GangState::kStopping:
+      return "stopping";
+  }
+  return "?";
+}
+
+std::uint32_t Job::unplaced() const {
+  const auto placed = static_cast<std::uint32_t>(runs.size());
+  return placed >= remaining() ? 0 : remaining() - placed;
+}
+
+std::optional<std::uint32_t> Job::next_task() const {
+  if (!again.empty()) return *again.begin();
+  std::uint32_t index = next_fresh;
+  while (index < spec.tasks && (done[index] || runs.contains(index))) ++index;
+  return index < spec.tasks ? std::optional(index) : std::nullopt;
+}
+
+void Job::take_task(std::uint32_t index) {
+  again.erase(index);
+  while (next_fresh < spec.tasks && (next_fresh == index || done[next_fresh] || runs.contains(next_fresh)))
+    ++next_fresh;
+}
+
+void Job::give_back(std::uint32_t index) {
+  if (!done[index] && !runs.contains(index) && index < next_fresh) again.insert(index);
+}
+
+void Job::mark_done(std::uint32_t index) {
+  if (done[index]) return;
+  done[index] = true;
+  ++done_count;
+  ++done_version;
+  again.erase(index);
+}
+
+double Job::due_ms() const {
+  return spec.deadline_s ? static_cast<double>(submitted_ms) + *spec.deadline_s * 1000
+                         : std::numeric_limits<double>::infinity();
+}
+
+}  // namespace robinford::bookkeeping
--- a/src/bookkeeping/machine_records.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -1,5 +1,7 @@
-// Durable records of machines: which record names which machine, and what it says.
-#include <algorithm>
+/// @file
+/// The part of MachineLedger that spreads machines over durable records. Section "Limits of the state
+/// service" of docs/design.md.
+#include <utility>
 
 #include "bookkeeping/machine_ledger.hpp"
 #include "constants.hpp"
@@ -9,10 +11,14 @@
 
 namespace {
 
-constexpr char kMembers[] = "all";
-constexpr char kUnanswered[] = "unanswered";  // by name: term of the leader that wrote it, time of day in ms
 constexpr char kSizedPrefix = 's';            // of the names of records by size
 constexpr char kNumberedPrefix = 'g';         // ...by number
+constexpr std::size_t kNumberDigitsMax = 15;  // a name with a longer number stands alone
+
+// The bytes that it may take in a record, with the longest address.
+std::size_t bytes_on_record(const Machine& machine) {
+  return machine.name.size() + machine.type.size() + machine.zone.size() + constants::kMachineEntryBytes;
+}
 
 bool is_numbered(const std::string& group) { return !group.empty() && group[0] == kNumberedPrefix; }
 
@@ -24,14 +30,9 @@
   while (digits < name.size() && name[name.size() - 1 - digits] >= '0' &&
          name[name.size() - 1 - digits] <= '9')
     ++digits;
-  if (digits == 0 || digits > 15) return name;
+  if (digits == 0 || digits > kNumberDigitsMax) return name;
   const auto number = std::stoull(name.substr(name.size() - digits));
-  return "g" + std::to_string(number / constants::kMachinesPerRecord);
-}
-
-// The bytes that it may take in a record, with the longest address.
-std::size_t MachineLedger::bytes_on_record(const Machine& machine) {
-  return machine.name.size() + machine.type.size() + machine.zone.size() + constants::kMachineEntryBytes;
+  return kNumberedPrefix + std::to_string(number / constants::kMachinesPerRecord);
 }
 
 std::size_t MachineLedger::bytes_of(const MachineGroup& group) {
@@ -125,95 +126,69 @@
 }
 
 json::object MachineLedger::group_record(const std::string& group, std::uint64_t term,
-                                         std::vector<std::string>& named) {
-  json::array members;
-  json::object unanswered;
+                                         std::vector<std::string>& launchable) {
+  std::vector<MachineEntry> entries;
   std::size_t bytes = bytes_of(groups_[group]);
   for (const auto& name : groups_[group].members) {
     Machine* machine = find(name);
     if (machine == nullptr || machine->state == MachineState::kGone) continue;
-    members.emplace_back(
-        json::array{machine->name, machine->addr, machine->type, machine->zone, machine->spot});
     // Where that does not fit, its lease is reckoned the longer way.
     if (machine->unanswered_since_ms) bytes += name.size() + constants::kUnansweredEntryBytes;
     if (machine->unanswered_since_ms && layout_ == RecordLayout::kBySize && bytes > record_limit_)
       machine->unanswered_since_ms.reset();
-    if (machine->unanswered_since_ms) {
-      unanswered[name] = json::array{term, *machine->unanswered_since_ms};
+    if (machine->unanswered_since_ms)
       machine->unanswered_on_record = true;
-    } else {
-      named.push_back(name);
-    }
+    else
+      launchable.push_back(name);
+    entries.push_back({machine->name, machine->addr, machine->type, machine->zone, machine->spot,
+                       machine->unanswered_since_ms});
   }
-  json::object object;
-  object[kMembers] = std::move(members);
-  if (!unanswered.empty()) object[kUnanswered] = std::move(unanswered);
-  return object;
-}
-
-MachineLedger::UnansweredSince MachineLedger::read_unanswered(const json::object& record,
-                                                              std::uint64_t trusted_since) {
-  UnansweredSince result;
-  const auto* value = record.if_contains(kUnanswered);
-  if (value == nullptr || !value->is_object()) return result;
-  for (const auto& [name, entry] : value->get_object()) {
-    const auto* fields = entry.if_array();
-    if (fields == nullptr || fields->size() != 2) continue;
-    json::error_code error;
-    const auto term = (*fields)[0].to_number<std::uint64_t>(error);
-    if (error || term < trusted_since) continue;
-    const auto since_ms = (*fields)[1].to_number<std::int64_t>(error);
-    if (!error) result.emplace(name, since_ms);
-  }
-  return result;
+  return encode_machines(entries, term);
 }
 
 bool MachineLedger::read_group(const std::string& group, std::uint64_t mod_revision, const json::value& value,
                                double now, std::uint64_t trusted_since) {
   groups_[group].mod_revision = mod_revision;
-  if (!value.is_object()) return false;
-  const auto* members = value.get_object().if_contains(kMembers);
-  if (members == nullptr || !members->is_array()) return false;
-  const auto unanswered = read_unanswered(value.get_object(), trusted_since);
-  bool good = true;
-  for (const auto& item : members->get_array()) {
-    const auto* fields = item.if_array();
-    const bool sane = fields != nullptr && fields->size() == 5 && (*fields)[0].is_string() &&
-                      (*fields)[1].is_string() && (*fields)[2].is_string() && (*fields)[3].is_string() &&
-                      (*fields)[4].is_bool();
-    if (!sane || (is_numbered(group) && group_of(std::string((*fields)[0].get_string())) != group)) {
+  const auto record = decode_machines(value, trusted_since);
+  if (!record) return false;
+  bool good = record->malformed == 0;
+  for (const auto& entry : record->machines) {
+    if (is_numbered(group) && group_of(entry.name) != group)
       good = false;
-      continue;
-    }
-    const auto word = [&](std::size_t index) { return std::string((*fields)[index].get_string()); };
-    const std::string name = word(0);
-    const auto since = unanswered.find(name);
-    const bool known = find(name) != nullptr;
-    Machine& machine = known ? *find(name) : add(name, now);
-    if (known) {
-      // Two records name it: it was being moved. Should one of them not call it unanswered, its heartbeats
-      // may have been answered since.
-      name_by_second_record(machine, group);
-      if (since == unanswered.end()) machine.unanswered_since_ms.reset();
-    } else {
-      set_record(machine, group);
-      if (since != unanswered.end()) machine.unanswered_since_ms = since->second;
-    }
-    if (since != unanswered.end()) machine.unanswered_on_record = true;
-    if (!word(1).empty() || !known) machine.recorded_addr = machine.addr = word(1);
-    machine.type = word(2);
-    machine.zone = word(3);
-    machine.spot = (*fields)[4].get_bool();
-    // Without an address it had not sent a heartbeat when the record was written, and nothing was launched
-    // there.
-    machine.unreconciled = !machine.addr.empty();
-    machine.recorded = machine.unreconciled && !machine.unanswered_since_ms;
-    if (machine.unanswered_since_ms) machine.state = MachineState::kUnresponsive;
+    else
+      read_entry(group, entry, now);
   }
   groups_[group].urgent = false;
   return good;
 }
 
+void MachineLedger::read_entry(const std::string& group, const MachineEntry& entry, double now) {
+  const bool known = find(entry.name) != nullptr;
+  Machine& machine = known ? *find(entry.name) : add(entry.name, now);
+  if (known) {
+    // Two records name it: it was being moved. Should one of them not call it unanswered, its heartbeats
+    // may have been answered since.
+    name_by_second_record(machine, group);
+    if (!entry.unanswered_since_ms) machine.unanswered_since_ms.reset();
+  } else {
+    set_record(machine, group);
+    machine.unanswered_since_ms = entry.unanswered_since_ms;
+  }
+  if (entry.unanswered_since_ms) machine.unanswered_on_record = true;
+  if (!entry.addr.empty() || !known) {
+    machine.addr = entry.addr;
+    machine.recorded_addr = entry.addr;
+  }
+  machine.type = entry.type;
+  machine.zone = entry.zone;
+  machine.spot = entry.spot;
+  // Without an address it had not sent a heartbeat when the record was written, and nothing was launched
+  // there.
+  machine.unreconciled = !machine.addr.empty();
+  machine.recorded = machine.unreconciled && !machine.unanswered_since_ms;
+  if (machine.unanswered_since_ms) machine.state = MachineState::kUnresponsive;
+}
+
 void MachineLedger::set_record(Machine& machine, const std::string& group) {
   if (!machine.record.empty()) groups_[machine.record].members.erase(machine.name);
   unassigned_.erase(machine.name);
--- a/src/bookkeeping/machine_ledger.cpp
+++ b/src/bookkeeping/machine_ledger.cpp
@@ -1,11 +1,10 @@
+/// @file
+/// The machines in memory.
 #include "bookkeeping/machine_ledger.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "constants.hpp"
-
 namespace robinford::bookkeeping {
-namespace json = boost::json;
 
 const char* to_text(MachineState state) {
   switch (state) {
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr char kLeaderKey[] = "lead";
-constexpr char kTermKey[] = "term";
+using bookkeeping::kLeaderKey;
+using bookkeeping::kTermKey;
 constexpr char kMember[] = "member";
 constexpr char kIncarnation[] = "inc";
 constexpr char kTerm[] = "term";
--- a/src/coordination/election/peer_versions.cpp
+++ b/src/coordination/election/peer_versions.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr char kPrefix[] = "v/";
+constexpr auto& kPrefix = bookkeeping::kPeerVersionPrefix;
 constexpr char kLevel[] = "level";
 constexpr char kIncarnation[] = "inc";
 constexpr char kQuotaLeases[] = "quota";
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -139,14 +139,15 @@
   std::vector<protocol::MachineType> types;
   for (const auto& [name, type] : context_.types) types.push_back(type);
   auto value = protocol::parse_json(protocol::catalog_json(types));
-  context_.state.read(
-      "cat", [this, value = std::move(value), generation = generation_](const bookkeeping::StateRead& read) {
-        if (generation != generation_ || read.found == bookkeeping::StateRead::Found::kUnknown) {
-          published_ = false;
-          return;
-        }
-        context_.writer.submit({{"cat", read.mod_revision, value->get_object()}}, [](auto, auto) {});
-      });
+  context_.state.read(bookkeeping::kCatalogKey, [this, value = std::move(value), generation = generation_](
+                                                    const bookkeeping::StateRead& read) {
+    if (generation != generation_ || read.found == bookkeeping::StateRead::Found::kUnknown) {
+      published_ = false;
+      return;
+    }
+    context_.writer.submit({{bookkeeping::kCatalogKey, read.mod_revision, value->get_object()}},
+                           [](auto, auto) {});
+  });
 }
 
 void Fleet::read_list(const std::string& after) {
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr char kPrefix[] = "n/";
+constexpr auto& kPrefix = bookkeeping::kChangeLogPrefix;
 
 // The job that an entry is about: keys are "n/JOB.INCARNATION.SEQUENCE".
 std::optional<JobId> job_of_key(const std::string& key) {
@@ -86,7 +86,7 @@
                          if (result.too_old) return events_.lost();  // what happened meanwhile is unknown
                          // No answer: pause by way of a read, then watch on from the same place.
                          context_.state.read(
-                             "term",
+                             bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
                                if (generation == generation_) watch(after);
                              },
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -41,7 +41,8 @@
   unreachable_ = 0;
   queues_dirty_ = dirty_ = true;
   next_queues_ = next_survey_ = next_watch_ = next_sweep_ = next_tiers_ = 0;
-  context_.writer.set_guard("lead", election_.mod_revision(), [this] { election_.guard_lost(); });
+  context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
+                            [this] { election_.guard_lost(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
@@ -68,7 +69,7 @@
   // goes on.
   const double since = context_.now.steady;
   context_.state.read(
-      "term",
+      bookkeeping::kTermKey,
       [this, again = std::move(again), since, generation = generation_](const bookkeeping::StateRead&) {
         if (generation != generation_ || phase_ != LeaderPhase::kLoading) return;
         if (context_.now.steady - since > c::kLoadRetryS || context_.state.reachable(context_.now.steady))
@@ -127,7 +128,7 @@
 void Scheduler::load_catalog() {
   if (!context_.types.empty()) return load_dependencies();
   context_.state.read(
-      "cat",
+      bookkeeping::kCatalogKey,
       [this, generation = generation_](const bookkeeping::StateRead& read) {
         if (generation != generation_) return;
         if (read.found == bookkeeping::StateRead::Found::kYes)
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -187,7 +187,7 @@
     done(422, "a task fits no allowed machine type");
   };
   if (!context_.types.empty()) return decide();
-  context_.state.read("cat", [this, decide, done](const StateRead& read) {
+  context_.state.read(bookkeeping::kCatalogKey, [this, decide, done](const StateRead& read) {
     if (read.found == StateRead::Found::kYes)
       if (const auto types = protocol::parse_catalog(boost::json::serialize(read.value)))
         for (const auto& type : *types) context_.types[type.name] = type;
--- a/src/quota/lease_record.hpp
+++ b/src/quota/lease_record.hpp
@@ -7,11 +7,12 @@
 #include <variant>
 #include <vector>
 
+#include "bookkeeping/store_keys.hpp"
 #include "quota/amount.hpp"
 
 namespace robinford::quota {
 
-inline constexpr char kLeaseRecordPrefix[] = "q/";
+using bookkeeping::kLeaseRecordPrefix;
 
 // One team's part of a lease.
 struct LeasePart {
