--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Budget, queues and pace of the calls to the state service.
 #include "bookkeeping/state_client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -6,28 +8,23 @@
 #include <utility>
 
 #include "constants.hpp"
-#include "protocol/messages.hpp"
 #include "protocol/names.hpp"
 
 namespace robinford::bookkeeping {
 namespace n = names;
-namespace json = boost::json;
 using protocol::CallResult;
 
 namespace {
 
-std::uint64_t number(const json::object& object, const char* key) {
-  const auto* value = object.if_contains(key);
-  if (value == nullptr) return 0;
-  if (value->is_uint64()) return value->get_uint64();
-  if (value->is_int64() && value->get_int64() > 0) return static_cast<std::uint64_t>(value->get_int64());
-  return 0;
-}
+constexpr int kNoAnswer = 0;
+constexpr int kMalformed = 400;
+constexpr int kThrottled = 429;
+constexpr int kUnavailable = 503;
+constexpr int kMsPerSecond = 1000;
 
-std::string text(const json::object& object, const char* key) {
-  const auto* value = object.if_contains(key);
-  return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
-}
+// Requests that must be covered before a read from the queue is sent: itself, and one that is left for what
+// is to be written, since users wait for their submissions.
+constexpr double kRequestsForQueued = 2;
 
 }  // namespace
 
@@ -51,8 +48,8 @@
 
 // The limits may be lower than the settings say. A refused call is not simply repeated at the same pace.
 void StateClient::learn_from(int status) {
-  if (status == 400) ++rejected_;
-  if (status != 429) return;
+  if (status == kMalformed) ++rejected_;
+  if (status != kThrottled) return;
   ++throttled_;
   if (now_ - pace_changed_at_ < constants::kPaceEveryS) return;
   pace_changed_at_ = now_;
@@ -77,24 +74,29 @@
   writes_.refill(now);
   recover_pace();
   const auto refused = std::exchange(refused_, {});
-  for (const auto& answered : refused) answered({429, ""});
-  const auto next = [this](std::deque<Queued>& queue) {
-    Queued call = std::move(queue.front());
-    queue.pop_front();
-    send(std::move(call.call), call.writes, std::move(call.answered));
-  };
-  while (!first_.empty() && requests_.covers(1) && writes_.covers(first_.front().writes)) next(first_);
+  for (const auto& answered : refused) answered({kThrottled, ""});
+  while (!first_.empty() && requests_.covers(1) && writes_.covers(first_.front().writes)) send_front(first_);
+  send_queued();
+}
+
+void StateClient::send_front(std::deque<Queued>& queue) {
+  Queued next = std::move(queue.front());
+  queue.pop_front();
+  send(std::move(next.call), next.writes, std::move(next.answered));
+}
+
+void StateClient::send_queued() {
   while (!queue_.empty()) {
     // Whoever asked has given up by now: a flood of polls must not spend the budget on answers for nobody.
-    if (now - queue_.front().since > constants::kStateTimeoutS) {
+    if (now_ - queue_.front().since > constants::kStateTimeoutS) {
       const auto answered = std::move(queue_.front().answered);
       queue_.pop_front();
-      answered({429, ""});
+      answered({kThrottled, ""});
       continue;
     }
-    // One request is left for what is to be written: users wait for their submissions.
-    if (!first_.empty() || !requests_.covers(2) || !writes_.covers(queue_.front().writes)) break;
-    next(queue_);
+    if (!first_.empty() || !requests_.covers(kRequestsForQueued) || !writes_.covers(queue_.front().writes))
+      return;
+    send_front(queue_);
   }
 }
 
@@ -102,7 +104,7 @@
   requests_.take(1);
   writes_.take(writes);
   calls_.send(std::move(call), [this, answered = std::move(answered)](const CallResult& result) {
-    if (result.status != 0 && result.status != 503) last_answer_ = now_;
+    if (result.status != kNoAnswer && result.status != kUnavailable) last_answer_ = now_;
     learn_from(result.status);
     answered(result);
   });
@@ -129,20 +131,7 @@
 
 void StateClient::read(const std::string& key, std::function<void(const StateRead&)> done, Urgency urgency) {
   call(urgency, "GET", std::string(n::kPathStore) + "/" + key, "", 0, constants::kStateTimeoutS,
-       [done = std::move(done)](const CallResult& result) {
-         StateRead read;
-         const auto value = protocol::parse_json(result.body);
-         if (result.status == 200 && value && value->is_object()) {
-           const auto& object = value->get_object();
-           read.found = StateRead::Found::kYes;
-           read.mod_revision = number(object, n::kModRevision);
-           if (const auto* data = object.if_contains(n::kValue)) read.value = *data;
-         } else if (result.status == 404) {
-           read.found = StateRead::Found::kNo;
-           if (value && value->is_object()) read.revision = number(value->get_object(), n::kRevision);
-         }
-         done(read);
-       });
+       [done = std::move(done)](const CallResult& result) { done(parse_read(result)); });
 }
 
 void StateClient::list(const std::string& prefix, const std::string& after,
@@ -151,59 +140,22 @@
   if (!after.empty()) target += std::string("&") + n::kQueryAfter + "=" + after;
   target += std::string("&") + n::kQueryLimit + "=" + std::to_string(constants::kStatePageItems);
   call(Urgency::kFirst, "GET", target, "", 0, constants::kLoadTimeoutS,
-       [done = std::move(done)](const CallResult& result) {
-         const auto value = protocol::parse_json(result.body);
-         if (result.status != 200 || !value || !value->is_object()) return done(std::nullopt);
-         const auto& object = value->get_object();
-         StatePage page;
-         page.revision = number(object, n::kRevision);
-         const auto* more = object.if_contains(n::kMore);
-         page.more = more != nullptr && more->is_bool() && more->get_bool();
-         if (const auto* items = object.if_contains(n::kItems); items != nullptr && items->is_array()) {
-           for (const auto& item : items->get_array()) {
-             if (!item.is_object()) continue;
-             const auto& entry = item.get_object();
-             const auto* data = entry.if_contains(n::kValue);
-             page.items.push_back({text(entry, n::kKey), number(entry, n::kModRevision),
-                                   data != nullptr ? *data : json::value()});
-           }
-         }
-         done(page);
-       });
+       [done = std::move(done)](const CallResult& result) { done(parse_page(result)); });
 }
 
 void StateClient::watch(const std::string& prefix, std::uint64_t after,
                         std::function<void(const WatchResult&)> done) {
-  const std::string target = std::string(n::kPathWatch) + "?" + n::kQueryPrefix + "=" + prefix + "&" +
-                             n::kQueryAfter + "=" + std::to_string(after) + "&" + n::kQueryWaitMs + "=" +
-                             std::to_string(static_cast<int>(constants::kWatchWaitS * 1000));
+  const int wait_ms = static_cast<int>(constants::kWatchWaitS * kMsPerSecond);
+  protocol::Call call;
+  call.service = protocol::Service::kState;
+  call.method = "GET";
+  call.target = std::string(n::kPathWatch) + "?" + n::kQueryPrefix + "=" + prefix + "&" + n::kQueryAfter +
+                "=" + std::to_string(after) + "&" + n::kQueryWaitMs + "=" + std::to_string(wait_ms);
+  call.timeout_s = constants::kWatchWaitS + constants::kWatchSlackS;
+  call.watch = true;
   requests_.take(1);
-  protocol::Call call{
-      0,   protocol::Service::kState, "", "GET", target, "", constants::kWatchWaitS + constants::kWatchSlackS,
-      true};
-  calls_.send(std::move(call), [done = std::move(done)](const CallResult& result) {
-    WatchResult watch;
-    watch.too_old = result.status == 410;
-    const auto value = protocol::parse_json(result.body);
-    if (result.status == 200 && value && value->is_object()) {
-      const auto& object = value->get_object();
-      watch.good = true;
-      watch.revision = number(object, n::kRevision);
-      if (const auto* events = object.if_contains(n::kEvents); events != nullptr && events->is_array()) {
-        for (const auto& item : events->get_array()) {
-          if (!item.is_object()) continue;
-          const auto& entry = item.get_object();
-          StateEvent event;
-          event.deleted = entry.contains(n::kDelete);
-          event.key = text(entry, event.deleted ? n::kDelete : n::kPut);
-          event.mod_revision = number(entry, n::kModRevision);
-          if (const auto* data = entry.if_contains(n::kValue)) event.value = *data;
-          watch.events.push_back(std::move(event));
-        }
-      }
-    }
-    done(watch);
-  });
+  calls_.send(std::move(call),
+              [done = std::move(done)](const CallResult& result) { done(parse_watch(result)); });
 }
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -1,8 +1,11 @@
+/// @file
+/// Units, their transactions, and what answers mean for them.
 #include "bookkeeping/writer.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "constants.hpp"
 #include "protocol/messages.hpp"
@@ -13,7 +16,55 @@
 namespace json = boost::json;
 
 namespace {
+
 constexpr char kMark[] = "w";
+constexpr std::size_t kOpBytes = 160;     // of one change in a transaction, beside its key and value
+constexpr std::size_t kKeysInOp = 2;      // the condition names the key, and the change
+constexpr std::size_t kTidyFraction = 4;  // of the queue, what only tidies up may fill one part in so many
+
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kConditionFailedStatus = 409;
+constexpr int kThrottled = 429;
+constexpr int kUnavailable = 503;
+
+std::uint64_t revision_of(const json::object& body) {
+  const auto* revision = body.if_contains(n::kRevision);
+  json::error_code error;
+  return revision != nullptr ? revision->to_number<std::uint64_t>(error) : 0;
+}
+
+std::set<std::string> failed_keys(const json::object& body) {
+  std::set<std::string> failed;
+  const auto* keys = body.if_contains(n::kFailedKeys);
+  if (keys == nullptr || !keys->is_array()) return failed;
+  for (const auto& key : keys->get_array())
+    if (key.is_string()) failed.emplace(key.get_string());
+  return failed;
+}
+
+json::object condition(const std::string& key, std::uint64_t mod_revision) {
+  json::object entry;
+  entry[n::kKey] = key;
+  entry[n::kModRevision] = mod_revision;
+  return entry;
+}
+
+json::object change(const WriteOp& op) {
+  json::object entry;
+  if (op.value) {
+    entry[n::kPut] = op.key;
+    entry[n::kValue] = *op.value;
+  } else {
+    entry[n::kDelete] = op.key;
+  }
+  return entry;
+}
+
+bool names_any(const std::vector<WriteOp>& ops, const std::set<std::string>& keys) {
+  return std::any_of(ops.begin(), ops.end(), [&](const WriteOp& op) { return keys.contains(op.key); });
+}
+
 }  // namespace
 
 TxnWriter::TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random)
@@ -36,13 +87,23 @@
   std::vector<UnitPtr> dropped;
   for (auto& unit : queue_) (unit->guarded ? dropped.push_back(unit) : kept.push_back(unit));
   queue_ = std::move(kept);
-  for (auto& unit : dropped) unit->written(WriteOutcome::kLost, 0);
+  finish(dropped, WriteOutcome::kLost, 0);
+}
+
+void TxnWriter::finish(const std::vector<UnitPtr>& units, WriteOutcome outcome, std::uint64_t revision) {
+  for (const auto& unit : units) unit->written(outcome, revision);
+}
+
+std::size_t TxnWriter::queue_limit(WriteClass urgency) const {
+  return urgency == WriteClass::kTidy ? constants::kWriteUnitsMax / kTidyFraction : constants::kWriteUnitsMax;
+}
+
+std::size_t TxnWriter::ops_most() const {
+  return std::min(static_cast<std::size_t>(settings_.txn_ops), ops_learned_);
 }
 
 void TxnWriter::submit(std::vector<WriteOp> ops, Written written, WriteClass urgency) {
-  if (queue_.size() >=
-          (urgency == WriteClass::kTidy ? constants::kWriteUnitsMax / 4 : constants::kWriteUnitsMax) ||
-      ops.size() > static_cast<std::size_t>(settings_.txn_ops)) {
+  if (queue_.size() >= queue_limit(urgency) || ops.size() > static_cast<std::size_t>(settings_.txn_ops)) {
     written(WriteOutcome::kRefused, 0);
     return;
   }
@@ -53,7 +114,7 @@
   unit->urgency = urgency;
   for (auto& op : ops) {
     if (op.value) (*op.value)[kMark] = unit->mark;
-    unit->bytes += 160 + op.key.size() * 2 + (op.value ? json::serialize(*op.value).size() : 0);
+    unit->bytes += kOpBytes + op.key.size() * kKeysInOp + (op.value ? json::serialize(*op.value).size() : 0);
   }
   unit->ops = std::move(ops);
   const auto place = std::find_if(queue_.begin(), queue_.end(),
@@ -64,71 +125,70 @@
 void TxnWriter::pump(double now) {
   now_ = now;
   while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlight && !queue_.empty()) {
-    std::vector<UnitPtr> batch;
-    std::size_t ops = 0, bytes = 0;
-    std::set<std::string> blocked;  // keys of units passed over, so that later writes to them wait their turn
-    const bool guarded = queue_.front()->guarded;
-    for (auto it = queue_.begin(); it != queue_.end();) {
-      auto& unit = *it;
-      const bool free_keys = std::none_of(unit->ops.begin(), unit->ops.end(), [&](const WriteOp& op) {
-        return busy_keys_.contains(op.key) || blocked.contains(op.key);
-      });
-      if (!free_keys || unit->guarded != guarded ||
-          (!batch.empty() && (unit->alone || batch.front()->alone || ops + unit->ops.size() > ops_most())) ||
-          (!batch.empty() && bytes + unit->bytes > constants::kTxnBytesMax)) {
-        for (const auto& op : unit->ops) blocked.insert(op.key);
-        ++it;
-        continue;
-      }
-      // Within one batch a key may stand only once.
-      for (const auto& op : unit->ops) blocked.insert(op.key);
-      ops += unit->ops.size();
-      bytes += unit->bytes;
-      batch.push_back(unit);
-      it = queue_.erase(it);
-    }
-    if (batch.empty()) return;
-    if (!state_.writes_ready(static_cast<int>(ops))) {
-      queue_.insert(queue_.begin(), batch.begin(), batch.end());
-      return;
+    auto batch = take_batch();
+    if (batch.units.empty()) return;
+    if (!state_.writes_ready(static_cast<int>(batch.ops))) return requeue(batch.units);
+    send(std::move(batch.units));
+  }
+}
+
+// The first unit always fits: should it be too large for the service, its answer says so.
+bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
+  if (batch.units.empty()) return true;
+  return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_most() &&
+         batch.bytes + unit.bytes <= constants::kTxnBytesMax;
+}
+
+// Takes the units of the next transaction out of the queue: all with a guard, or all without.
+TxnWriter::Batch TxnWriter::take_batch() {
+  Batch batch;
+  // Keys of the units that were taken, since a key may stand only once in a transaction, and of those passed
+  // over, so that later writes to them wait their turn.
+  std::set<std::string> blocked;
+  const bool guarded = queue_.front()->guarded;
+  for (auto place = queue_.begin(); place != queue_.end();) {
+    const UnitPtr unit = *place;
+    const bool take = !names_any(unit->ops, busy_keys_) && !names_any(unit->ops, blocked) &&
+                      unit->guarded == guarded && fits(batch, *unit);
+    for (const auto& op : unit->ops) blocked.insert(op.key);
+    if (!take) {
+      ++place;
+      continue;
     }
-    send(std::move(batch));
+    batch.ops += unit->ops.size();
+    batch.bytes += unit->bytes;
+    batch.units.push_back(unit);
+    place = queue_.erase(place);
   }
+  return batch;
 }
 
-void TxnWriter::send(std::vector<UnitPtr> batch) {
-  json::array conditions, changes;
-  const auto condition = [&](const std::string& key, std::uint64_t mod_revision) {
-    json::object entry;
-    entry[n::kKey] = key;
-    entry[n::kModRevision] = mod_revision;
-    conditions.emplace_back(std::move(entry));
-  };
-  if (!batch.empty() && batch.front()->guarded) condition(guard_key_, guard_mod_revision_);
-  for (const auto& unit : batch) {
+json::object TxnWriter::transaction(const std::vector<UnitPtr>& units) const {
+  json::array conditions;
+  json::array changes;
+  if (units.front()->guarded) conditions.emplace_back(condition(guard_key_, guard_mod_revision_));
+  for (const auto& unit : units) {
     for (const auto& op : unit->ops) {
-      condition(op.key, op.expect);
-      busy_keys_.insert(op.key);
-      if (op.compare_only) continue;
-      json::object entry;
-      if (op.value) {
-        entry[n::kPut] = op.key;
-        entry[n::kValue] = *op.value;
-      } else {
-        entry[n::kDelete] = op.key;
-      }
-      changes.emplace_back(std::move(entry));
+      conditions.emplace_back(condition(op.key, op.expect));
+      if (!op.compare_only) changes.emplace_back(change(op));
     }
   }
-  const int writes = static_cast<int>(changes.size());
   json::object body;
   body[n::kConditions] = std::move(conditions);
   body[n::kOperations] = std::move(changes);
+  return body;
+}
+
+void TxnWriter::send(std::vector<UnitPtr> units) {
+  for (const auto& unit : units)
+    for (const auto& op : unit->ops) busy_keys_.insert(op.key);
+  const auto body = transaction(units);
+  const int writes = static_cast<int>(body.at(n::kOperations).get_array().size());
   ++in_flight_;
   state_.call(StateClient::Urgency::kNormal, "POST", n::kPathTxn, json::serialize(body), writes,
               constants::kStateTimeoutS,
-              [this, batch = std::move(batch), generation = generation_](const protocol::CallResult& result) {
-                on_answer(batch, generation, result);
+              [this, units = std::move(units), generation = generation_](const protocol::CallResult& result) {
+                on_answer(units, generation, result);
               });
 }
 
@@ -136,77 +196,82 @@
   queue_.insert(queue_.begin(), units.begin(), units.end());
 }
 
-void TxnWriter::on_answer(const std::vector<UnitPtr>& batch, std::uint64_t generation,
+void TxnWriter::requeue_after_pause(const std::vector<UnitPtr>& units) {
+  not_before_ = now_ + constants::kWriteRetryS;
+  requeue(units);
+}
+
+TxnWriter::TxnAnswer TxnWriter::classify(int status, const json::object* body) {
+  if (status == kOk && body != nullptr) return TxnAnswer::kCarriedOut;
+  if (status == kConditionFailedStatus && body != nullptr) return TxnAnswer::kConditionFailed;
+  if (status == kBadRequest) return TxnAnswer::kMalformed;
+  if (status == kThrottled || status == kUnavailable) return TxnAnswer::kNotCarriedOut;
+  return TxnAnswer::kOpen;
+}
+
+void TxnWriter::on_answer(const std::vector<UnitPtr>& units, std::uint64_t generation,
                           const protocol::CallResult& result) {
   --in_flight_;
-  for (const auto& unit : batch)
+  for (const auto& unit : units)
     for (const auto& op : unit->ops) busy_keys_.erase(op.key);
   const auto value = protocol::parse_json(result.body);
-  const auto* object = value && value->is_object() ? &value->get_object() : nullptr;
-  const bool ours = !batch.front()->guarded || generation == generation_;
-  if (result.status == 200 && object != nullptr) {
-    std::uint64_t revision = 0;
-    if (const auto* found = object->if_contains(n::kRevision)) {
-      json::error_code error;
-      revision = found->to_number<std::uint64_t>(error);
-    }
-    for (const auto& unit : batch) unit->written(WriteOutcome::kDone, revision);
-    return;
+  const auto* body = value ? value->if_object() : nullptr;
+  const auto answer = classify(result.status, body);
+  if (answer == TxnAnswer::kCarriedOut) return finish(units, WriteOutcome::kDone, revision_of(*body));
+  // Leadership changed meanwhile; the next leader reads what became of this.
+  if (units.front()->guarded && generation != generation_) return finish(units, WriteOutcome::kLost, 0);
+  switch (answer) {
+    case TxnAnswer::kCarriedOut:
+      return;
+    case TxnAnswer::kConditionFailed:
+      return on_condition_failed(units, *body);
+    case TxnAnswer::kMalformed:
+      return on_malformed(units);
+    case TxnAnswer::kNotCarriedOut:
+      return requeue_after_pause(units);
+    case TxnAnswer::kOpen:
+      for (const auto& unit : units) unit->open_try = true;
+      return requeue_after_pause(units);
   }
-  if (!ours) {
-    // Leadership changed meanwhile; the next leader reads what became of this.
-    for (const auto& unit : batch) unit->written(WriteOutcome::kLost, 0);
+}
+
+void TxnWriter::on_condition_failed(const std::vector<UnitPtr>& units, const json::object& body) {
+  const auto failed = failed_keys(body);
+  if (units.front()->guarded && failed.contains(guard_key_)) {
+    const auto lost = guard_lost_;
+    finish(units, WriteOutcome::kLost, 0);
+    if (lost) lost();
     return;
   }
-  if (result.status == 409 && object != nullptr) {
-    std::set<std::string> failed;
-    if (const auto* keys = object->if_contains(n::kFailedKeys); keys != nullptr && keys->is_array())
-      for (const auto& key : keys->get_array())
-        if (key.is_string()) failed.emplace(key.get_string());
-    if (batch.front()->guarded && failed.contains(guard_key_)) {
-      const auto lost = guard_lost_;
-      for (const auto& unit : batch) unit->written(WriteOutcome::kLost, 0);
-      if (lost) lost();
-      return;
-    }
-    std::vector<UnitPtr> again;
-    for (const auto& unit : batch) {
-      const bool hit = std::any_of(unit->ops.begin(), unit->ops.end(),
-                                   [&](const WriteOp& op) { return failed.contains(op.key); });
-      if (!hit && !failed.empty())
-        again.push_back(unit);
-      else if (hit && unit->uncertain)
-        settle_by_reading(unit);
-      else
-        unit->written(WriteOutcome::kConflict, 0);
-    }
-    requeue(again);
-    return;
+  std::vector<UnitPtr> again;
+  for (const auto& unit : units) {
+    const bool hit = names_any(unit->ops, failed);
+    if (!hit && !failed.empty())
+      again.push_back(unit);
+    else if (hit && unit->open_try)
+      settle_by_reading(unit);
+    else
+      unit->written(WriteOutcome::kConflict, 0);
   }
-  if (result.status == 400) return on_malformed(batch);
-  // 429 and 503 were not executed; anything else is open, and the conditions make a repeat harmless.
-  if (result.status != 429 && result.status != 503)
-    for (const auto& unit : batch) unit->uncertain = true;
-  not_before_ = now_ + constants::kWriteRetryS;
-  requeue(batch);
+  requeue(again);
 }
 
 // A limit is lower than the settings say. Larger transactions are not tried again, and each unit of this one
 // is tried by itself: one that is refused even so was never going to be taken.
-void TxnWriter::on_malformed(const std::vector<UnitPtr>& batch) {
-  if (batch.size() == 1) {
-    spdlog::error("the state service refuses a change of {}", batch.front()->ops.front().key);
-    return batch.front()->written(WriteOutcome::kRefused, 0);
+void TxnWriter::on_malformed(const std::vector<UnitPtr>& units) {
+  if (units.size() == 1) {
+    spdlog::error("the state service refuses a change of {}", units.front()->ops.front().key);
+    return finish(units, WriteOutcome::kRefused, 0);
   }
   std::size_t ops = 0;
-  for (const auto& unit : batch) {
+  for (const auto& unit : units) {
     unit->alone = true;
     ops += unit->ops.size();
   }
   ops_learned_ = std::clamp(ops / 2, constants::kTxnOpsLeast, std::max(constants::kTxnOpsLeast, ops_most()));
   spdlog::warn("the state service refuses a transaction of {} changes: {} at most from now on", ops,
                ops_most());
-  requeue(batch);
+  requeue(units);
 }
 
 // The conditions of an unanswered transaction fail at its repeat: either it was carried out after all, or
@@ -219,24 +284,24 @@
     unit->written(WriteOutcome::kConflict, 0);
     return;
   }
-  const std::uint64_t generation = generation_;
-  state_.read(probe->key, [this, unit, generation, deleting = !probe->value](const StateRead& read) {
-    if (unit->guarded && generation != generation_) {
-      unit->written(WriteOutcome::kLost, 0);
-      return;
-    }
-    if (read.found == StateRead::Found::kUnknown) {
-      not_before_ = now_ + constants::kWriteRetryS;
-      requeue({unit});  // still open: its repeat fails again and leads back here
-      return;
-    }
-    bool carried_out = deleting && read.found == StateRead::Found::kNo;
-    if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
-      const auto* mark = read.value.get_object().if_contains(kMark);
-      carried_out = mark != nullptr && mark->is_string() && mark->get_string() == unit->mark;
-    }
-    unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.mod_revision);
-  });
+  state_.read(probe->key,
+              [this, unit, generation = generation_, deleting = !probe->value](const StateRead& read) {
+                if (unit->guarded && generation != generation_)
+                  unit->written(WriteOutcome::kLost, 0);
+                else
+                  on_settling_read(unit, deleting, read);
+              });
+}
+
+void TxnWriter::on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read) {
+  // Still open: the repeat fails again and leads back here.
+  if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
+  bool carried_out = deleting && read.found == StateRead::Found::kNo;
+  if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
+    const auto* mark = read.value.get_object().if_contains(kMark);
+    carried_out = mark != nullptr && mark->is_string() && mark->get_string() == unit->mark;
+  }
+  unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.mod_revision);
 }
 
 }  // namespace robinford::bookkeeping
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -142,7 +142,7 @@
   context_.state.watch(
       kLeaderKey, after, [this, epoch = epoch_, after](const bookkeeping::WatchResult& watch) {
         if (epoch != epoch_) return;
-        bool gone = !watch.good;
+        bool gone = !watch.complete();
         for (const auto& event : watch.events) {
           if (event.key != kLeaderKey) continue;
           gone = event.deleted || text(event.value, kMember) == context_.settings.member;
@@ -153,7 +153,8 @@
         }
         if (gone) {
           // Two followers wake at the same moment; a short random wait lets one be first.
-          next_try_ = context_.now.steady + (watch.good ? context_.draw(c::kClaimJitterS) : c::kClaimRetryS);
+          next_try_ =
+              context_.now.steady + (watch.complete() ? context_.draw(c::kClaimJitterS) : c::kClaimRetryS);
           become(Role::kDiscovering);
         } else {
           follow(std::max(after, watch.revision));
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -82,8 +82,9 @@
                        [this, after, generation = generation_](const bookkeeping::WatchResult& result) {
                          if (generation != generation_) return;
                          for (const auto& event : result.events) take_event(event);
-                         if (result.good) return watch(std::max(after, result.revision));
-                         if (result.too_old) return events_.lost();  // what happened meanwhile is unknown
+                         if (result.complete()) return watch(std::max(after, result.revision));
+                         if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
+                           return events_.lost();  // what happened meanwhile is unknown
                          // No answer: pause by way of a read, then watch on from the same place.
                          context_.state.read(
                              bookkeeping::kTermKey,
