--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -13,6 +13,8 @@
 namespace c = constants;
 namespace n = names;
 namespace json = boost::json;
+using bookkeeping::kLeaderKey;
+using bookkeeping::kTermKey;
 using bookkeeping::StateClient;
 using bookkeeping::StateRead;
 using bookkeeping::WatchResult;
@@ -183,7 +185,7 @@
 }
 
 void Election::on_leader_watch(std::uint64_t after_revision, const WatchResult& watch) {
-  bool gone = !watch.good;
+  bool gone = !watch.complete();
   for (const auto& event : watch.events) {
     if (event.key != kLeaderKey) continue;
     const LeaderRecord record = LeaderRecord::decode(event.value);
@@ -194,7 +196,7 @@
   }
   if (!gone) return watch_leader_key(std::max(after_revision, watch.revision));
   // Two followers learn of it at the same time; a short random wait lets one be first.
-  retry_in(watch.good ? context_.draw(c::kCampaignJitterS) : c::kCampaignRetryS);
+  retry_in(watch.complete() ? context_.draw(c::kCampaignJitterS) : c::kCampaignRetryS);
 }
 
 // ---------------------------------------------------------------- campaigning
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// The two records behind an election: the leader key, which lives as long as the leader's lease, and the
-/// term record, which stays.
+/// term record, which stays. Their keys are in bookkeeping/store_keys.hpp.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,11 +10,6 @@
 
 namespace robinford::coordination {
 
-/// Key of the record of the present leader. It is attached to the leader's lease.
-inline constexpr char kLeaderKey[] = "lead";
-/// Key of the record of the last term that began.
-inline constexpr char kTermKey[] = "term";
-
 /// The process that leads, and its term, which is the fencing token of its commands.
 struct LeaderRecord {
   std::string member;
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -12,6 +12,7 @@
 namespace robinford::coordination {
 namespace c = constants;
 namespace n = names;
+using bookkeeping::kCatalogKey;
 using bookkeeping::Machine;
 using bookkeeping::MachineState;
 using bookkeeping::StateRead;
@@ -19,8 +20,6 @@
 
 namespace {
 
-constexpr char kCatalogKey[] = "cat";
-
 // The cloud gives the same status for an outage and for a pool without machines; only the text differs.
 bool says_no_capacity(const CallResult& result) {
   return result.status == 503 && result.body.find("capacity") != std::string::npos;
