--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -207,6 +207,11 @@
   send_stops();
 }
 
+void Scheduler::arrived(const Job& job) {
+  run_times_.estimated(job.spec);
+  arrivals_.record(job, time_left(job));
+}
+
 void Scheduler::job_added(Job& job) {
   if (job.state == JobState::kWaiting)
     dependencies_.watch(job);
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -158,7 +158,7 @@
     if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
-    ++unreconciled_[Kind{machine.type, machine.zone, machine.spot}];
+    ++unreconciled_[kind_of(machine)];
     ++unreconciled_total_;
     if (!machine.addr.empty()) to_probe_.push_back(name);
   }
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -16,8 +16,8 @@
 bool Scheduler::blocked(const Job& job) const {
   if (!job.before || unreconciled_.empty()) return false;
   return std::any_of(unreconciled_.begin(), unreconciled_.end(), [&](const auto& entry) {
-    return kind_allowed(job.spec, std::get<0>(entry.first), std::get<1>(entry.first),
-                        std::get<2>(entry.first));
+    const MachineKind& kind = entry.first;
+    return kind_allowed(job.spec, kind.type, kind.zone, kind.spot);
   });
 }
 
@@ -63,7 +63,7 @@
   if (now >= next_survey_) survey();
   // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
   // once.
-  if (!machine.offered && !waiting_gangs_.empty() && suits_gangs(machine)) return 0;
+  if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return 0;
   // Machines that should be filled before this one have capacity for all that waits: they send heartbeats as
   // well, before long.
   if (survey_.better[capacity_class(machine)] > survey_.array_demand) return 0;
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -60,6 +60,7 @@
           {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
            [this](protocol::JobId id) { read_job(id); }}),
       directly_(launches_directly(context.settings)),
+      arrivals_(context, run_times_),
       probe_budget_(
           std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore) * context.settings.count,
           std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore)) {}
@@ -155,7 +156,7 @@
 void Scheduler::mark_reconciled(Machine& machine) {
   if (!machine.unreconciled) return;
   machine.unreconciled = false;
-  const auto found = unreconciled_.find(Kind{machine.type, machine.zone, machine.spot});
+  const auto found = unreconciled_.find(kind_of(machine));
   if (found != unreconciled_.end() && --found->second <= 0) unreconciled_.erase(found);
   --unreconciled_total_;
   unreconciled_dirty_ = dirty_ = queues_dirty_ = true;
@@ -172,8 +173,8 @@
       if (!job->before) continue;
       double cpus = 0, gpus = 0;
       for (const auto& [kind, count] : unreconciled_) {
-        if (!kind_allowed(job->spec, std::get<0>(kind), std::get<1>(kind), std::get<2>(kind))) continue;
-        const auto type = context_.types.find(std::get<0>(kind));
+        if (!kind_allowed(job->spec, kind.type, kind.zone, kind.spot)) continue;
+        const auto type = context_.types.find(kind.type);
         cpus += type == context_.types.end() ? c::kAmountMax : type->second.cpus * count;
         gpus += type == context_.types.end() ? c::kAmountMax : type->second.gpus * count;
       }
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -9,7 +9,6 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "constants.hpp"
@@ -19,6 +18,8 @@
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
 #include "coordination/routing/job_lookup.hpp"
+#include "coordination/scheduling/arrival_history.hpp"
+#include "coordination/scheduling/machine_kind.hpp"
 #include "coordination/scheduling/placement.hpp"
 #include "coordination/scheduling/run_times.hpp"
 
@@ -105,20 +106,14 @@
   const RunTimes& run_times() const { return run_times_; }
   // Time until the job should be over: by its own due time or by its class's aim.
   double time_left(const bookkeeping::Job& job) const;
-  // Some gang of those that came lately fits the machine; one task of some gang takes most of it. Machines
-  // are kept ready for the latter only: a gang of small tasks finds its place beside other work.
-  bool suits_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fits; }
-  bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
+  // What the fleet asks of the arrival history.
+  bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
+  const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
+  double gang_rate() const { return arrivals_.gang_machines_per_second(); }
+  double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
   static bool has_gang(const bookkeeping::Machine& machine) {
     return machine.gang_tasks > 0 || !machine.reservations.empty();
   }
-  // The last gang of which each task takes most of a machine; if there was none, the last gang.
-  const protocol::JobSpec* typical_gang() const;
-  double gang_rate() const;  // machines that arriving gangs fill, a second
-  void arrived(const bookkeeping::Job& job);
-  // Cores that the arrays of late arrivals keep busy, team by team up to its limit; less where they can wait
-  // for boots.
-  double array_load(double boot_s) const;
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
   std::size_t unreconciled_machines() const { return unreconciled_total_; }
@@ -126,12 +121,7 @@
   std::string audit();
 
  private:
-  using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-  struct GangUse {
-    bool fits = false, fills = false;
-  };
-  GangUse gang_use(const bookkeeping::Machine& machine) const;
-  std::uint32_t tasks_a_machine(const protocol::JobSpec& spec) const;
+  void arrived(const bookkeeping::Job& job);
   void set_phase(LeaderPhase phase);
   // ---- loading ----
   void load_change_log();
@@ -273,22 +263,16 @@
   std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
+  ArrivalHistory arrivals_;
   std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
-  std::deque<std::pair<double, protocol::JobSpec>> recent_gangs_;
-  struct Arrival {
-    double at;
-    protocol::JobSpec spec;
-    double cores, allowed;
-  };
-  std::deque<Arrival> recent_arrays_;
-  std::set<std::string> claimed_;  // machines kept for a gang in the present round
+  std::set<std::string> claimed_;            // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
   std::set<std::string> stopping_;               // machines with tasks that are to stop
   std::set<std::string> unknown_task_machines_;  // machines that show tasks nobody wants
-  std::map<Kind, int> unreconciled_;             // machines that may hold tasks of earlier leaders, by kind
+  std::map<MachineKind, int> unreconciled_;      // machines that may hold tasks of earlier leaders, by kind
   std::size_t unreconciled_total_ = 0;
   bool unreconciled_dirty_ = false;
   std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
@@ -303,8 +287,6 @@
     double better[3] = {0, 0, 0};  // free cpus on machines of a lower class
     double array_demand = 0;       // cpus that unplaced array tasks could use
   } survey_;
-  mutable std::map<Kind, GangUse> gang_use_;  // cache
-  mutable double gang_use_until_ = 0;
   struct OpenDirect {
     std::string machine;
     std::uint64_t agent_epoch = 0, known_agent_epoch = 0, known_seq = 0;
