--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -75,7 +75,7 @@
       Job* job = context_.jobs.find(holder);
       if (job == nullptr || job->gang != GangState::kReserving) continue;
       job->avoid[machine->name] = now + c::kReservationHeartbeats * context_.settings.heartbeat_interval_s;
-      release_reservations(*job);
+      placements_.release_reservations(*job);
       JobLedger::set_gang(*job, GangState::kQueued, now);
     }
     return;
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -194,7 +194,7 @@
   if (agent_restarted) on_agent_restart(machine);
   take_machine_facts(machine, heartbeat);
   const auto shown = tasks_shown(heartbeat);
-  set_unknown_tasks(machine, {});
+  placements_.set_unknown_tasks(machine, {});
   machine.clears.clear();
   std::set<TaskId> settled;
   const std::set<TaskId> known = machine.tasks;
@@ -345,7 +345,7 @@
   if (!wanted) {
     auto unknown_tasks = machine.unknown_tasks;
     unknown_tasks.push_back(task);
-    set_unknown_tasks(machine, std::move(unknown_tasks));
+    placements_.set_unknown_tasks(machine, std::move(unknown_tasks));
     return;
   }
   TaskRun run;
@@ -356,7 +356,7 @@
   run.seen = true;
   run.planned_at = run.launched_at = run.running_since = context_.now.steady;
   job->attempt = task.attempt;
-  place_run(*job, task.task.index, run, machine);
+  placements_.add_run(*job, task.task.index, run, machine);
   machine.images[job->spec.image] = context_.now.steady;
   if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
 }
@@ -364,7 +364,7 @@
 void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   const double now = context_.now.steady;
   const TaskRun run = job.runs.at(index);
-  drop_run(job, index);
+  placements_.remove_run(job, index);
   if (run.running_since > 0)
     (task.exit_reason == ExitReason::kDone || task.saved ? machine.useful : machine.lost) +=
         (now - run.running_since) * job.spec.cpus;
@@ -411,7 +411,7 @@
       break;
   }
   if (!job.spec.gang) {
-    give_back(job, index);
+    placements_.return_task(job, index);
     return;
   }
   if (job.gang != GangState::kStopping) stop_gang(job, false, protocol::to_text(task.exit_reason));
@@ -420,9 +420,9 @@
 void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
   context_.metrics.count("tasks_lost");
   spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
-  drop_run(job, index);
+  placements_.remove_run(job, index);
   if (job.over()) return;
-  if (!job.spec.gang) return give_back(job, index);
+  if (!job.spec.gang) return placements_.return_task(job, index);
   if (job.gang != GangState::kStopping) stop_gang(job, false, why);
 }
 
@@ -431,12 +431,12 @@
   for (const auto& id : tasks) {
     if (Job* job = context_.jobs.find(id.job)) run_lost(*job, id.index, why);
   }
-  set_unknown_tasks(machine, {});
+  placements_.set_unknown_tasks(machine, {});
   mark_reconciled(machine);
   const auto reservations = machine.reservations;
   for (const auto id : reservations)
     if (Job* job = context_.jobs.find(id)) {
-      release_reservations(*job);
+      placements_.release_reservations(*job);
       if (job->gang == GangState::kReserving)
         JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
     }
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -19,7 +19,6 @@
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
 using protocol::JobId;
-using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
@@ -195,7 +194,7 @@
   queues_dirty_ = true;
   if (context_.job_over) context_.job_over(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
-  release_reservations(job);
+  placements_.release_reservations(job);
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) {
@@ -270,14 +269,8 @@
 
 // Whether a machine shows tasks of the job, or may still hold some.
 bool Scheduler::has_remaining_tasks(JobId id) {
-  const bool strayed =
-      std::any_of(unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
-        const Machine* machine = context_.machines.find(name);
-        return machine != nullptr &&
-               std::any_of(machine->unknown_tasks.begin(), machine->unknown_tasks.end(),
-                           [&](const TaskStatus& unknown_task) { return unknown_task.task.job == id; });
-      });
-  return strayed || std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
+  return placements_.unknown_task_shown(id) ||
+         std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
            const Machine* machine = context_.machines.find(name);
            return machine != nullptr && machine->overdue.contains(id);
          });
@@ -296,7 +289,8 @@
       write_derived_cancellation(*job);
       continue;
     }
-    if (job->runs.empty() && job->reservations.empty() && !blocked(*job) && !has_remaining_tasks(id))
+    if (job->runs.empty() && job->reservations.empty() && !unreconciled_.may_hold_tasks_of(*job) &&
+        !has_remaining_tasks(id))
       gone.push_back(id);
   }
   if (gone.empty()) return;
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -61,7 +61,7 @@
       const auto reservations = machine.reservations;
       for (const auto id : reservations)
         if (Job* job = context_.jobs.find(id); job != nullptr && job->gang == GangState::kReserving) {
-          release_reservations(*job);
+          placements_.release_reservations(*job);
           JobLedger::set_gang(*job, GangState::kQueued, now);
         }
     }
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -32,9 +32,8 @@
   loading_dependencies_ = false;
   queues_.clear();
   stopping_.clear();
-  unknown_task_machines_.clear();
+  placements_.clear();
   unreconciled_.clear();
-  unreconciled_total_ = 0;
   to_probe_.clear();
   open_direct_.clear();
   gang_kept_.clear();
@@ -158,8 +157,7 @@
     if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
-    ++unreconciled_[kind_of(machine)];
-    ++unreconciled_total_;
+    unreconciled_.add(machine);
     if (!machine.addr.empty()) to_probe_.push_back(name);
   }
   for (auto& [id, job] : context_.jobs.all()) {
@@ -171,7 +169,7 @@
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
     if (job->state == JobState::kActive) arrived(*job);
   }
-  count_unreconciled();
+  unreconciled_.charge_quota();
   // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
   // one that hangs also after its lease.
   for (const auto& [id, job] : context_.jobs.all()) {
@@ -184,7 +182,7 @@
   context_.cancellations.change_log_read(election_.last_renewed());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   reconcile_until_ =
-      context_.now.steady + (unreconciled_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
+      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
   spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
                context_.machines.all().size());
   set_phase(LeaderPhase::kReconciling);
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -12,21 +12,12 @@
 using bookkeeping::Machine;
 using bookkeeping::TaskRun;
 
-// An unplaced task may be on a machine that an earlier leader used and that has proved nothing yet.
-bool Scheduler::blocked(const Job& job) const {
-  if (!job.before || unreconciled_.empty()) return false;
-  return std::any_of(unreconciled_.begin(), unreconciled_.end(), [&](const auto& entry) {
-    const MachineKind& kind = entry.first;
-    return kind_allowed(job.spec, kind.type, kind.zone, kind.spot);
-  });
-}
-
 void Scheduler::plan(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
   TaskRun run;
   run.machine = machine.name;
   run.attempt = attempt;
   run.planned_at = context_.now.steady;
-  place_run(job, index, std::move(run), machine);
+  placements_.add_run(job, index, std::move(run), machine);
 }
 
 // Whether a task of the array may go to the machine now, and how many by count.
@@ -35,7 +26,7 @@
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
     return false;
   if (!kind_allowed(job.spec, machine.type, machine.zone, machine.spot) || !free.fits(job.spec) ||
-      blocked(job))
+      unreconciled_.may_hold_tasks_of(job))
     return false;
   if (const auto avoided = job.avoid.find(machine.name); avoided != job.avoid.end() && now < avoided->second)
     return false;
@@ -50,7 +41,7 @@
     slots = job.runs.empty() ? std::min<std::uint32_t>(slots, 1) : 0;
   if (slots == 0) return false;
   return !(job.spec.one_zone || job.spec.spread) ||
-         zone_allowed(job.spec, zones_of(context_, job, unknown_task_machines_), machine.zone);
+         zone_allowed(job.spec, zones_of(context_, job, placements_.unknown_task_machines()), machine.zone);
 }
 
 // Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
@@ -58,7 +49,7 @@
   const double now = context_.now.steady;
   if (!takes_work(context_, machine) || machine.draining) return 0;
   if (machine.reserved_by && now < machine.reserved_until) return 0;
-  if (queues_dirty_ && now >= next_queues_) sort_queues();
+  if ((queues_dirty_ || placements_.array_unqueued()) && now >= next_queues_) sort_queues();
   if (queues_.empty() || free_resources(context_, machine).cpus <= 0) return 0;
   if (now >= next_survey_) survey();
   // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -17,12 +17,14 @@
 
 void Scheduler::round() {
   const double now = context_.now.steady;
-  if (!may_place() || now - last_round_ < c::kRoundEveryS || !dirty_) return;
+  if (!may_place() || now - last_round_ < c::kRoundEveryS) return;
+  if (!dirty_ && !placements_.capacity_freed()) return;
   last_round_ = now;
   dirty_ = false;
+  placements_.clear_capacity_freed();
   claimed_.clear();
   context_.metrics.count("rounds");
-  if (unreconciled_dirty_) count_unreconciled();
+  unreconciled_.charge_quota_if_changed();
   waiting_gangs_.clear();
   for (auto& [id, job] : context_.jobs.all()) {
     if (!job->spec.gang || job->state != JobState::kActive) continue;
@@ -34,7 +36,7 @@
   if (now >= next_survey_) survey();
   std::vector<std::pair<Rank, Job*>> queue;
   for (Job* job : waiting_gangs_)
-    if (now >= job->backoff_until && job->runs.empty() && !blocked(*job))
+    if (now >= job->backoff_until && job->runs.empty() && !unreconciled_.may_hold_tasks_of(*job))
       queue.emplace_back(rank(*job, job->spec.tasks), job);
   std::vector<Offer> open;
   if (!queue.empty()) {
@@ -129,7 +131,7 @@
   if (!spots) return false;
   for (const auto& spot : *spots) {
     Machine& machine = *context_.machines.find(spot.machine);
-    for (std::uint32_t i = 0; i < spot.tasks; ++i) add_reservation(job, machine);
+    for (std::uint32_t i = 0; i < spot.tasks; ++i) placements_.add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
     // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
     if (directly() && can_send_direct()) probe(machine);
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -28,7 +28,7 @@
       // Taken over from an earlier leader: whole, or it has to start again.
       if (complete_set)
         JobLedger::set_gang(job, GangState::kRunning, now);
-      else if (!blocked(job))
+      else if (!unreconciled_.may_hold_tasks_of(job))
         stop_gang(job, false, "found incomplete by a new leader");
       return;
     case GangState::kReserving: {
@@ -41,7 +41,7 @@
       if (!expired) return;
       spdlog::info("gang {}: reservations expired, queued again", name_of(job));
       context_.metrics.count("reservations_expired");
-      release_reservations(job);
+      placements_.release_reservations(job);
       JobLedger::set_gang(job, GangState::kQueued, now);
       return;
     }
@@ -59,7 +59,7 @@
     case GangState::kRunning:
       return;
     case GangState::kStopping:
-      if (job.runs.empty() && !blocked(job)) {
+      if (job.runs.empty() && !unreconciled_.may_hold_tasks_of(job)) {
         context_.metrics.count("gangs_requeued");
         job.attempt = 0;
         JobLedger::set_gang(job, GangState::kQueued, now);
@@ -72,7 +72,7 @@
   std::vector<std::string> places;
   for (const auto& reservation : job.reservations)
     if (reservation.confirmed && places.size() < job.spec.tasks) places.push_back(reservation.machine);
-  release_reservations(job);
+  placements_.release_reservations(job);
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
     plan(job, i, *context_.machines.find(places[i]), job.attempt);
@@ -86,7 +86,7 @@
   const auto found = job.runs.find(index);
   if (found == job.runs.end()) return;
   if (found->second.state == RunState::kPlanned) {
-    drop_run(job, index);  // never sent
+    placements_.remove_run(job, index);  // never sent
     return;
   }
   found->second.stop_grace = grace;
@@ -97,7 +97,7 @@
 
 void Scheduler::stop_gang(Job& job, bool orderly, const char* why) {
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
-  release_reservations(job);
+  placements_.release_reservations(job);
   JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
   const double grace =
       orderly && job.spec.checkpoint_s > 0 ? job.spec.save_s + context_.settings.gang_peer_s : 0;
@@ -117,7 +117,7 @@
     } else {
       stop_run(*job, id.index,
                job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
-      give_back(*job, id.index);
+      placements_.return_task(*job, id.index);
     }
   }
   send_stops();
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -57,7 +57,7 @@
     if (excess <= 0) break;
     excess -= victim.job->spec.cpus;
     stop_run(*victim.job, victim.index, 0);
-    give_back(*victim.job, victim.index);
+    placements_.return_task(*victim.job, victim.index);
     ++stopped;
     context_.metrics.count("preempted");
   }
@@ -125,7 +125,7 @@
     for (const auto& victim : options[i].victims) {
       Job* other = context_.jobs.find(victim.task.job);
       stop_run(*other, victim.task.index, 0);
-      give_back(*other, victim.task.index);
+      placements_.return_task(*other, victim.task.index);
       context_.metrics.count("preempted");
     }
     spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -124,6 +124,7 @@
 void Scheduler::sort_queues() {
   next_queues_ = context_.now.steady + c::kQueuesEveryS;
   queues_dirty_ = false;
+  placements_.clear_array_unqueued();
   queues_.clear();
   std::map<const Job*, Rank> ranks;
   for (auto& [id, job] : context_.jobs.all()) {
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -19,9 +19,10 @@
 #include "coordination/leader/dependencies.hpp"
 #include "coordination/routing/job_lookup.hpp"
 #include "coordination/scheduling/arrival_history.hpp"
-#include "coordination/scheduling/machine_kind.hpp"
 #include "coordination/scheduling/placement.hpp"
+#include "coordination/scheduling/placements.hpp"
 #include "coordination/scheduling/run_times.hpp"
+#include "coordination/scheduling/unreconciled_machines.hpp"
 
 namespace robinford::coordination {
 
@@ -92,7 +93,7 @@
 
   // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
-    if (phase_ == LeaderPhase::kReconciling && unreconciled_total_ == 0)
+    if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
   // The cloud confirmed that the machine is gone.
@@ -116,7 +117,7 @@
   }
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
-  std::size_t unreconciled_machines() const { return unreconciled_total_; }
+  std::size_t unreconciled_machines() const { return unreconciled_.count(); }
   // What is wrong with the running accounts, by a count of everything; empty when nothing is. For tests.
   std::string audit();
 
@@ -165,17 +166,7 @@
   void note_undelivered(bookkeeping::Machine& machine, int by);
   void probe_if_suspect(bookkeeping::Machine& machine);
   void cordon(bookkeeping::Machine& machine, const char* why);
-  // ---- running accounts: every run and reservation comes and goes through these ----
-  void place_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
-                 bookkeeping::Machine& machine);
-  void note_grant(bookkeeping::Job& job);
-  void drop_run(bookkeeping::Job& job, std::uint32_t index);
-  void give_back(bookkeeping::Job& job, std::uint32_t index);
-  void add_reservation(bookkeeping::Job& job, bookkeeping::Machine& machine);
-  void release_reservations(bookkeeping::Job& job);
-  void set_unknown_tasks(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> unknown_tasks);
   void mark_reconciled(bookkeeping::Machine& machine);
-  void count_unreconciled();
   // ---- placing ----
   struct Rank {
     bool borrows;
@@ -190,7 +181,6 @@
   };
   Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
   bool waited_too_long(const bookkeeping::Job& job) const;
-  bool blocked(const bookkeeping::Job& job) const;
   void sort_tiers();
   void survey();
   void sort_queues();
@@ -264,17 +254,15 @@
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
+  Placements placements_;
+  UnreconciledMachines unreconciled_;
   std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
   std::set<std::string> claimed_;            // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;               // machines with tasks that are to stop
-  std::set<std::string> unknown_task_machines_;  // machines that show tasks nobody wants
-  std::map<MachineKind, int> unreconciled_;      // machines that may hold tasks of earlier leaders, by kind
-  std::size_t unreconciled_total_ = 0;
-  bool unreconciled_dirty_ = false;
+  std::set<std::string> stopping_;    // machines with tasks that are to stop
   std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
   bookkeeping::TokenBucket probe_budget_;
   std::map<std::string, std::vector<bookkeeping::Job*>>
