--- /dev/null
+++ b/src/coordination/leader/direct_launches.cpp
@@ -0,0 +1,149 @@
+/// @file
+/// Scheduler: launches and stops that go out as direct commands, and what the answers to direct commands
+/// prove. docs/design.md, section "Direct launches".
+#include <spdlog/spdlog.h>
+
+#include <tuple>
+
+#include "constants.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+using bookkeeping::GangState;
+using bookkeeping::Job;
+using bookkeeping::JobLedger;
+using bookkeeping::JobState;
+using bookkeeping::Machine;
+using bookkeeping::MachineLedger;
+using bookkeeping::MachineState;
+using bookkeeping::RunState;
+using protocol::Command;
+using protocol::Heartbeat;
+using protocol::TaskId;
+
+namespace {
+// Statuses of a worker's own answers to commands. Any other comes from something in between, or means that
+// there was no answer.
+constexpr int kAccepted = 200;
+constexpr int kRefused = 409;
+}  // namespace
+
+void Scheduler::direct_answer(std::uint64_t id, int status, const Heartbeat* heartbeat) {
+  const auto open = direct_.close(id);
+  if (!open) return;
+  Machine* machine = context_.machines.find(open->machine);
+  if (machine == nullptr || machine->state == MachineState::kGone || phase_ == LeaderPhase::kNone ||
+      phase_ == LeaderPhase::kLoading)
+    return;
+  --machine->open_probes;
+  const bool from_worker = status == kAccepted || status == kRefused;
+  if (heartbeat == nullptr || !from_worker || heartbeat->machine != machine->name)
+    return direct_command_failed(*machine);
+  if (heartbeat->fencing_token > election_.term())
+    return election_.higher_term_seen(heartbeat->fencing_token);
+  machine->undelivered = 0;
+  machine->probe_failures = 0;
+  machine->agent_epoch_guess = heartbeat->agent_epoch;
+  const bool counters_went_back = machine->saw_term && std::tie(heartbeat->agent_epoch, heartbeat->seq) <
+                                                           std::tie(open->known_agent_epoch, open->known_seq);
+  if (counters_went_back) return return_reset_machine(*machine);
+  if (heartbeat->fencing_token == election_.term()) return direct_command_answered(*machine, *heartbeat);
+  // It refused because its agent epoch was not the one that we guessed, and so did not learn our token.
+  if (status == kRefused && heartbeat->agent_epoch != open->agent_epoch) direct_.probe(*machine);
+}
+
+void Scheduler::direct_command_failed(Machine& machine) {
+  if (direct_.record_failure(machine) == DirectCommands::Reachability::kUnreachable)
+    cordon(machine, "unreachable: its heartbeats arrive, answers and commands do not");
+  // A gang must not wait for the capacity of a machine that does not answer.
+  const double avoid_until =
+      context_.now.steady + c::kReservationHeartbeats * context_.settings.heartbeat_interval_s;
+  for (const auto id : machine.reservations)
+    if (Job* job = context_.jobs.find(id); job != nullptr && job->gang == GangState::kReserving)
+      job->avoid[machine.name] = avoid_until;
+  requeue_reserving_gangs(machine);
+}
+
+// The worker's answer shows our token: it is as good as a heartbeat, except that a launch in the answer to
+// the last real heartbeat may still be on its way.
+void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
+  if (!machine.saw_term || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
+    apply_heartbeat(machine, heartbeat, true);
+  if (may_place()) check_reserving_gangs(machine);
+}
+
+// Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent epoch of
+// the same number may still come. Only the cloud's confirmation of its return settles that.
+void Scheduler::return_reset_machine(Machine& machine) {
+  machine.agent_reset = true;
+  spdlog::info("machine {}: its agent was reset, the machine is returned", machine.name);
+  MachineLedger::set_state(machine, MachineState::kReturning);
+}
+
+// The gangs that reserve capacity on the machine look for other capacity.
+void Scheduler::requeue_reserving_gangs(Machine& machine) {
+  const auto holders = machine.reservations;  // a copy: releasing changes the list
+  for (const auto id : holders) {
+    Job* job = context_.jobs.find(id);
+    if (job == nullptr || job->gang != GangState::kReserving) continue;
+    placements_.release_reservations(*job);
+    JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
+  }
+}
+
+// After proof of the machine: launches each gang whose last reservation is confirmed by it.
+void Scheduler::check_reserving_gangs(Machine& machine) {
+  const auto holders = machine.reservations;  // a copy: launching changes the list
+  for (const auto id : holders)
+    if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
+      check_gang(*job);
+}
+
+void Scheduler::launch_directly(Machine& machine) {
+  if (!may_place() || machine.state != MachineState::kUp || !machine.recorded || machine.addr.empty()) return;
+  if (machine.direct_agent_epoch != machine.agent_epoch) {
+    machine.direct.clear();
+    machine.direct_agent_epoch = machine.agent_epoch;
+  }
+  std::vector<Command> commands;
+  for (const auto& id : machine.tasks) {
+    Job* job = context_.jobs.find(id.job);
+    if (job == nullptr || job->state != JobState::kActive || commands.size() >= c::kCommandsMax) continue;
+    auto& run = job->runs.at(id.index);
+    if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
+    commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
+    launched(machine, *job, run, true);
+    machine.direct.insert({id, run.attempt});
+  }
+  if (!commands.empty()) direct_.send(machine, std::move(commands));
+}
+
+// Stops also go straight to the machines: a late one does no harm, since attempts are never used twice.
+void Scheduler::send_stops() {
+  if (!election_.owns_fencing_token()) return;
+  const double now = context_.now.steady;
+  for (auto it = stopping_.begin(); it != stopping_.end();) {
+    Machine* machine = context_.machines.find(*it);
+    bool any = false;
+    std::vector<Command> commands;
+    if (machine != nullptr && machine->state != MachineState::kGone) {
+      for (const auto& id : machine->tasks) {
+        Job* job = context_.jobs.find(id.job);
+        if (job == nullptr) continue;
+        auto& run = job->runs.at(id.index);
+        if (run.state != RunState::kStopping) continue;
+        any = true;
+        if (now - run.last_stop < c::kStopAgainS || commands.size() >= c::kCommandsMax ||
+            machine->open_probes >= c::kOpenMost || !direct_.can_send())
+          continue;
+        run.last_stop = now;
+        commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
+      }
+    }
+    it = any ? std::next(it) : stopping_.erase(it);
+    if (!commands.empty() && machine->saw_term) direct_.send(*machine, std::move(commands));
+  }
+}
+
+}  // namespace robinford::coordination
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -108,10 +108,7 @@
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
     // The heartbeat that confirms the last reservation of a gang carries the launch in its own answer.
-    const auto reserving_jobs = machine.reservations;
-    for (const auto id : reserving_jobs)
-      if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
-        check_gang(*job);
+    check_reserving_gangs(machine);
     fill(machine);
   }
   answer_heartbeat(machine, key);
@@ -484,7 +481,7 @@
 
 void Scheduler::probe_if_suspect(Machine& machine) {
   if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeEveryS) return;
-  probe(machine);
+  direct_.probe(machine);
 }
 
 void Scheduler::launched(Machine& machine, Job& job, TaskRun& run, bool direct) {
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -8,9 +8,7 @@
 
 namespace robinford::coordination {
 namespace c = constants;
-using bookkeeping::GangState;
 using bookkeeping::Job;
-using bookkeeping::JobLedger;
 using bookkeeping::Machine;
 using bookkeeping::MachineLedger;
 using bookkeeping::MachineState;
@@ -58,12 +56,7 @@
     if ((machine.state == MachineState::kUp || machine.state == MachineState::kBooting) && expected &&
         now - std::max(machine.last_heartbeat, began_) > 2 * patience) {
       MachineLedger::set_state(machine, MachineState::kUnresponsive);
-      const auto reservations = machine.reservations;
-      for (const auto id : reservations)
-        if (Job* job = context_.jobs.find(id); job != nullptr && job->gang == GangState::kReserving) {
-          placements_.release_reservations(*job);
-          JobLedger::set_gang(*job, GangState::kQueued, now);
-        }
+      requeue_reserving_gangs(machine);
     }
     const bool unproven_answers = machine.unreconciled && machine.probe_failures >= c::kProbesEnough;
     if (phase_ == LeaderPhase::kServing && election_.valid() &&
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -34,10 +34,8 @@
   stopping_.clear();
   placements_.clear();
   unreconciled_.clear();
-  to_probe_.clear();
-  open_direct_.clear();
+  direct_.clear();
   gang_kept_.clear();
-  unreachable_ = 0;
   queues_dirty_ = dirty_ = true;
   next_queues_ = next_survey_ = next_watch_ = next_sweep_ = next_tiers_ = 0;
   context_.writer.set_guard("lead", election_.mod_revision(), [this] { election_.guard_lost(); });
@@ -53,7 +51,7 @@
   early_.clear();
   waiting_gangs_.clear();
   queues_.clear();
-  open_direct_.clear();
+  direct_.clear();
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
@@ -158,7 +156,7 @@
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
     unreconciled_.add(machine);
-    if (!machine.addr.empty()) to_probe_.push_back(name);
+    if (!machine.addr.empty()) direct_.plan_probe(name);
   }
   for (auto& [id, job] : context_.jobs.all()) {
     // The list may have been made just before another controller withdrew the job.
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -101,9 +101,9 @@
 // With long heartbeat intervals, work that has come would wait for most of one: the leader launches by direct
 // commands.
 void Scheduler::fill_idle() {
-  if (!directly() || queues_.empty() || survey_.array_demand <= 0) return;
+  if (!direct_.launches_directly() || queues_.empty() || survey_.array_demand <= 0) return;
   for (auto& [name, machine] : context_.machines.all()) {
-    if (!can_send_direct() || !probe_budget_.covers(1)) return;
+    if (!direct_.can_send() || !direct_.within_budget()) return;
     if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
         machine.direct.size() >= c::kDirectListMax)
       continue;
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -134,7 +134,7 @@
     for (std::uint32_t i = 0; i < spot.tasks; ++i) placements_.add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
     // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
-    if (directly() && can_send_direct()) probe(machine);
+    if (direct_.launches_directly() && direct_.can_send()) direct_.probe(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
   JobLedger::set_gang(job, GangState::kReserving, now);
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -77,9 +77,9 @@
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
     plan(job, i, *context_.machines.find(places[i]), job.attempt);
   JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
-  if (!directly()) return;
+  if (!direct_.launches_directly()) return;
   for (const auto& name : std::set<std::string>(places.begin(), places.end()))
-    if (can_send_direct()) launch_directly(*context_.machines.find(name));
+    if (direct_.can_send()) launch_directly(*context_.machines.find(name));
 }
 
 void Scheduler::stop_run(Job& job, std::uint32_t index, double grace) {
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -31,17 +31,6 @@
   return "?";
 }
 
-// By heartbeats a gang waits for two of them, one that confirms its reservations and one whose answer
-// launches. That is worth a connection for each launch where it takes a good part of the shortest start that
-// users expect.
-bool launches_directly(const protocol::Settings& settings) {
-  double shortest = c::kDirectDefaultWaitS;
-  for (const auto& objective : settings.objectives)
-    if (objective.kind == "wait" || objective.kind == "guarantee")
-      shortest = std::min(shortest, objective.within_s);
-  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitter > shortest * c::kDirectWaitShare;
-}
-
 Scheduler::Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions,
                      Actions actions)
     : context_(context),
@@ -56,13 +45,10 @@
           context, lookup_,
           {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
            [this](protocol::JobId id) { read_job(id); }}),
-      directly_(launches_directly(context.settings)),
       arrivals_(context, run_times_),
       placements_(context),
       unreconciled_(context),
-      probe_budget_(
-          std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore) * context.settings.count,
-          std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore)) {}
+      direct_(context, election, actions_.direct) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
@@ -113,7 +99,7 @@
     if (!dependencies_.release_decided()) return;
     loaded();
   }
-  probe_budget_.refill(now);
+  direct_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
     dirty_ = true;
@@ -126,7 +112,7 @@
   if (!election_.valid()) return;
   change_log_.tick();
   dependencies_.tick();
-  probe_unreconciled();
+  direct_.send_planned_probes();
   write_groups();
   if (now >= next_sweep_) {
     next_sweep_ = now + c::kSweepEveryS;
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -3,7 +3,6 @@
 // gangs; direct.cpp direct commands.
 #pragma once
 
-#include <deque>
 #include <functional>
 #include <map>
 #include <optional>
@@ -17,6 +16,7 @@
 #include "coordination/election/peer_versions.hpp"
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
+#include "coordination/leader/direct_commands.hpp"
 #include "coordination/routing/job_lookup.hpp"
 #include "coordination/scheduling/arrival_history.hpp"
 #include "coordination/scheduling/placement.hpp"
@@ -34,17 +34,6 @@
 };
 const char* to_text(LeaderPhase phase);
 
-// Whether launches go by direct commands on this site, and not only in the answers to heartbeats.
-bool launches_directly(const protocol::Settings& settings);
-
-// A command or probe that goes straight to a worker, from here or from another controller on our behalf.
-struct DirectCall {
-  std::uint64_t id = 0;
-  std::string addr;
-  std::uint64_t agent_epoch = 0;
-  std::vector<protocol::Command> commands;
-};
-
 class Scheduler {
  public:
   struct Actions {
@@ -201,14 +190,11 @@
   void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
   // ---- direct commands ----
-  bool directly() const { return directly_; }
-  bool can_send_direct() const {
-    return open_direct_.size() <
-           static_cast<std::size_t>(context_.settings.max_connections / constants::kDirectSocketPart);
-  }
-  void direct(bookkeeping::Machine& machine, std::vector<protocol::Command> commands);
-  void probe(bookkeeping::Machine& machine) { direct(machine, {}); }
-  void probe_unreconciled();
+  void direct_command_failed(bookkeeping::Machine& machine);
+  void direct_command_answered(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
+  void return_reset_machine(bookkeeping::Machine& machine);
+  void requeue_reserving_gangs(bookkeeping::Machine& machine);
+  void check_reserving_gangs(bookkeeping::Machine& machine);
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
@@ -241,7 +227,6 @@
   ChangeLog change_log_;
   JobLookup lookup_;
   Dependencies dependencies_;
-  const bool directly_;  // launches go straight to workers
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
   double began_ = 0, serving_since_ = 0, reconcile_until_ = 0, next_reconcile_check_ = 0;
@@ -256,15 +241,14 @@
   ArrivalHistory arrivals_;
   Placements placements_;
   UnreconciledMachines unreconciled_;
+  DirectCommands direct_;
   std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
   std::set<std::string> claimed_;            // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;    // machines with tasks that are to stop
-  std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
-  bookkeeping::TokenBucket probe_budget_;
+  std::set<std::string> stopping_;  // machines with tasks that are to stop
   std::map<std::string, std::vector<bookkeeping::Job*>>
       queues_;  // arrays with tasks to place, by team, in order
   bool queues_dirty_ = false;
@@ -275,14 +259,6 @@
     double better[3] = {0, 0, 0};  // free cpus on machines of a lower class
     double array_demand = 0;       // cpus that unplaced array tasks could use
   } survey_;
-  struct OpenDirect {
-    std::string machine;
-    std::uint64_t agent_epoch = 0, known_agent_epoch = 0, known_seq = 0;
-    std::vector<std::pair<protocol::TaskId, std::uint64_t>> launches;
-  };
-  std::map<std::uint64_t, OpenDirect> open_direct_;
-  std::uint64_t direct_counter_ = 0;
-  std::size_t unreachable_ = 0;  // machines cordoned because they hear nothing
 };
 
 }  // namespace robinford::coordination
