--- /dev/null
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -0,0 +1,57 @@
+/// @file
+/// When the durable records of machines are written. docs/design.md, sections "What was added" ("Records")
+/// and "Limits of the state service".
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "coordination/controller_context.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/election/peer_versions.hpp"
+
+namespace robinford::coordination {
+
+/// Keeps the machine records of the state service up to date with the machine ledger. A machine has to be on
+/// record with its address before anything is launched there, so that a new leader knows where to look for
+/// running tasks. Each record is written with a compare-and-swap; a conflict means that another leader wrote
+/// it, and ends this leadership.
+class MachineRecordWriter {
+ public:
+  /// The references must outlive the writer.
+  MachineRecordWriter(ControllerContext& context, Election& election, const PeerVersions& versions)
+      : context_(context), election_(election), versions_(versions) {}
+
+  /// A term begins or ends: ignores the answers to all writes that are open.
+  void reset() { ++generation_; }
+  /// Starts the writes that are due. Call it only while the machine ledger is complete; does nothing when the
+  /// leadership is not valid.
+  void write_due();
+
+  /// Whether a record was written since the last `clear_written`, so that machines may have become
+  /// launchable.
+  bool written() const { return written_; }
+  void clear_written() { written_ = false; }
+
+ private:
+  // What a write in progress will have put on record.
+  struct PendingRecord {
+    std::string group;
+    std::vector<std::string> named;                       // all machines that the record names
+    std::map<std::string, std::string> launchable_addrs;  // of them those on which tasks may be launched
+  };
+
+  double urgent_pause() const;
+  void write(const std::string& name, bookkeeping::MachineGroup& group);
+  void finish(const PendingRecord& record, bookkeeping::WriteOutcome outcome, std::uint64_t mod_revision);
+
+  ControllerContext& context_;
+  Election& election_;
+  const PeerVersions& versions_;
+  std::uint64_t generation_ = 0;  // of terms: answers that belong to an earlier one are ignored
+  bool written_ = false;
+};
+
+}  // namespace robinford::coordination
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -17,6 +17,7 @@
 
 void Scheduler::begin() {
   ++generation_;
+  machine_records_.reset();
   began_ = context_.now.steady;
   first_launch_seen_ = false;
   attempt_counter_ = 0;
@@ -45,6 +46,7 @@
 
 void Scheduler::end() {
   ++generation_;
+  machine_records_.reset();
   change_log_.end();
   context_.writer.clear_guard();
   for (const auto& [key, heartbeat] : early_) actions_.answer(key, 421, {});
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -15,13 +15,20 @@
 using bookkeeping::Machine;
 using protocol::JobSpec;
 
+// Whether anything changed since the last round that may let a gang start.
+bool Scheduler::take_round_due() {
+  const bool due = dirty_ || placements_.capacity_freed() || machine_records_.written();
+  dirty_ = false;
+  placements_.clear_capacity_freed();
+  machine_records_.clear_written();
+  return due;
+}
+
 void Scheduler::round() {
   const double now = context_.now.steady;
   if (!may_place() || now - last_round_ < c::kRoundEveryS) return;
-  if (!dirty_ && !placements_.capacity_freed()) return;
+  if (!take_round_due()) return;
   last_round_ = now;
-  dirty_ = false;
-  placements_.clear_capacity_freed();
   claimed_.clear();
   context_.metrics.count("rounds");
   unreconciled_.charge_quota_if_changed();
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -35,7 +35,6 @@
                      Actions actions)
     : context_(context),
       election_(election),
-      versions_(versions),
       actions_(std::move(actions)),
       change_log_(context, election,
                   {[this](protocol::JobId id) { on_cancelled_elsewhere(id); },
@@ -48,7 +47,8 @@
       arrivals_(context, run_times_),
       placements_(context),
       unreconciled_(context),
-      direct_(context, election, actions_.direct) {}
+      direct_(context, election, actions_.direct),
+      machine_records_(context, election, versions) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
@@ -113,7 +113,7 @@
   change_log_.tick();
   dependencies_.tick();
   direct_.send_planned_probes();
-  write_groups();
+  machine_records_.write_due();
   if (now >= next_sweep_) {
     next_sweep_ = now + c::kSweepEveryS;
     unreconciled_.charge_quota_if_changed();
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -17,6 +17,7 @@
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
 #include "coordination/leader/direct_commands.hpp"
+#include "coordination/leader/machine_record_writer.hpp"
 #include "coordination/routing/job_lookup.hpp"
 #include "coordination/scheduling/arrival_history.hpp"
 #include "coordination/scheduling/placement.hpp"
@@ -178,6 +179,7 @@
                   std::uint32_t& slots);
   std::uint32_t fill(bookkeeping::Machine& machine);
   void fill_idle();
+  bool take_round_due();
   void round();
   bool place_gang(bookkeeping::Job& job, std::vector<Offer>& open);
   void preempt_for(bookkeeping::Job& job);
@@ -198,12 +200,6 @@
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
-  void write_groups();
-  double urgent_record_pause() const;
-  void write_group(const std::string& name, bookkeeping::MachineGroup& group);
-  void group_written(const std::string& name, const std::map<std::string, std::string>& addrs,
-                     const std::vector<std::string>& named, bookkeeping::WriteOutcome outcome,
-                     std::uint64_t mod_revision);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
@@ -222,7 +218,6 @@
 
   ControllerContext& context_;
   Election& election_;
-  const PeerVersions& versions_;
   Actions actions_;
   ChangeLog change_log_;
   JobLookup lookup_;
@@ -242,6 +237,7 @@
   Placements placements_;
   UnreconciledMachines unreconciled_;
   DirectCommands direct_;
+  MachineRecordWriter machine_records_;
   std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
