--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -191,7 +191,7 @@
         (context_.now.wall_ms - job.submitted_ms) / 1000.0,
         job.first_start > 0 ? job.first_start - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
         job.spec.estimate_s, job.ran_count > 0 ? job.ran_sum / job.ran_count : 0.0, time_left(job));
-  queues_dirty_ = true;
+  queue_order_.mark_changed();
   if (context_.job_over) context_.job_over(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
   placements_.release_reservations(job);
@@ -216,7 +216,8 @@
     dependencies_.watch(job);
   else
     arrived(job);
-  dirty_ = queues_dirty_ = true;
+  dirty_ = true;
+  queue_order_.mark_changed();
 }
 
 // Its clocks, but for the deadline, begin here.
@@ -227,7 +228,8 @@
   job.ready_on_record = false;
   job.known_at = context_.now.steady;
   context_.metrics.count("jobs_released");
-  dirty_ = queues_dirty_ = true;
+  dirty_ = true;
+  queue_order_.mark_changed();
   if (phase_ != LeaderPhase::kLoading) arrived(job);
 }
 
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -1,6 +1,9 @@
-// Arrays go into the capacity that machines heartbeat.
+/// @file
+/// Scheduler: places tasks of arrays on the machines whose heartbeats show free capacity. docs/design.md,
+/// section "What was added", "Arrays".
 #include <algorithm>
 #include <utility>
+#include <vector>
 
 #include "constants.hpp"
 #include "coordination/scheduling/scheduler.hpp"
@@ -20,8 +23,8 @@
   placements_.add_run(job, index, std::move(run), machine);
 }
 
-// Whether a task of the array may go to the machine now, and how many by count.
-bool Scheduler::array_fits(Job& job, Machine& machine, const Resources& free, std::uint32_t& slots) {
+// Whether a task of the array may go to the machine now.
+bool Scheduler::array_fits(const Job& job, const Machine& machine, const Resources& free) {
   const double now = context_.now.steady;
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
     return false;
@@ -32,76 +35,84 @@
     return false;
   const auto kept = gang_kept_.find(job.spec.team);
   if (!context_.quota.allows(job.spec, 1, kept == gang_kept_.end() ? 0 : kept->second)) return false;
-  slots = slots_by_count(context_, job, machine);
-  // One that goes before the others by its age begins with a single task: the rest keeps its place in the
-  // order of due times. Whole arrays let through by age made others late that were in time.
-  if (waited_too_long(job)) slots = job.runs.empty() ? std::min<std::uint32_t>(slots, 1) : 0;
-  // A job that failed on several machines is tried with a single task until one succeeds.
-  if (static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines)
-    slots = job.runs.empty() ? std::min<std::uint32_t>(slots, 1) : 0;
-  if (slots == 0) return false;
+  // A job that failed on several machines is tried with a single task until one succeeds. One that goes
+  // before the others by its age begins with a single task, too: the rest keeps its place in the order of due
+  // times. Whole arrays let through by age made others late that were in time.
+  const bool one_task_only =
+      static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
+  if (one_task_only && !job.runs.empty()) return false;
+  if (slots_by_count(context_, job, machine) == 0) return false;
   return !(job.spec.one_zone || job.spec.spread) ||
          zone_allowed(job.spec, zones_of(context_, job, placements_.unknown_task_machines()), machine.zone);
 }
 
-// Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
-std::uint32_t Scheduler::fill(Machine& machine) {
-  const double now = context_.now.steady;
-  if (!takes_work(context_, machine) || machine.draining) return 0;
-  if (machine.reserved_by && now < machine.reserved_until) return 0;
-  if ((queues_dirty_ || placements_.array_unqueued()) && now >= next_queues_) sort_queues();
-  if (queues_.empty() || free_resources(context_, machine).cpus <= 0) return 0;
-  if (now >= next_survey_) survey();
+// The position in one team's queue while a machine is filled.
+struct Scheduler::ArrayTurn {
+  const std::vector<Job*>* queue;
+  std::size_t position = 0;
+  Rank rank;
+  Job& job() const { return *(*queue)[position]; }
+};
+
+// Moves on to the team's first job that may go to the machine; false when there is none.
+bool Scheduler::find_fitting_array(ArrayTurn& turn, const Machine& machine, const Resources& free) {
+  for (; turn.position < turn.queue->size(); ++turn.position) {
+    if (!array_fits(turn.job(), machine, free)) continue;
+    turn.rank = queue_order_.rank(turn.job(), 1);
+    return true;
+  }
+  return false;
+}
+
+// Whether arrays may use the machine's free capacity at present.
+bool Scheduler::open_to_arrays(Machine& machine) {
+  if (!takes_work(context_, machine) || machine.draining) return false;
+  if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
+  if ((queue_order_.changed() || placements_.array_unqueued()) && queue_order_.sort_due()) sort_queues();
+  if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
+  survey_.refresh_if_due(queue_order_.queues());
   // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
   // once.
-  if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return 0;
-  // Machines that should be filled before this one have capacity for all that waits: they send heartbeats as
-  // well, before long.
-  if (survey_.better[capacity_class(machine)] > survey_.array_demand) return 0;
-  struct Turn {
-    std::vector<Job*>* queue;
-    std::size_t at;
-    std::uint32_t slots;
-    Rank rank;
-  };
-  std::vector<Turn> turns;
+  if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return false;
+  return !survey_.arrays_fit_better_machines(machine);
+}
+
+// Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
+// Returns the number of tasks placed.
+std::uint32_t Scheduler::fill(Machine& machine) {
+  if (!open_to_arrays(machine)) return 0;
   Resources free = free_resources(context_, machine);
-  // Moves on to the team's first job that may go here; false when there is none.
-  const auto next = [&](Turn& turn) {
-    for (; turn.at < turn.queue->size(); ++turn.at) {
-      Job& job = *(*turn.queue)[turn.at];
-      if (!array_fits(job, machine, free, turn.slots)) continue;
-      turn.rank = rank(job, 1);
-      return true;
-    }
-    return false;
-  };
-  for (auto& [team, queue] : queues_) {
-    Turn turn{&queue, 0, 0, {}};
-    if (next(turn)) turns.push_back(turn);
+  std::vector<ArrayTurn> turns;
+  for (const auto& [team, queue] : queue_order_.queues()) {
+    ArrayTurn turn{&queue, 0, {}};
+    if (find_fitting_array(turn, machine, free)) turns.push_back(turn);
   }
   std::uint32_t placed = 0;
   while (!turns.empty()) {
-    auto best = std::min_element(turns.begin(), turns.end(),
-                                 [](const Turn& a, const Turn& b) { return a.rank < b.rank; });
-    Job& job = *(*best->queue)[best->at];
+    const auto best = std::min_element(
+        turns.begin(), turns.end(),
+        [](const ArrayTurn& left, const ArrayTurn& right) { return left.rank < right.rank; });
+    Job& job = best->job();
     plan(job, *job.next_task(), machine, next_attempt());
     free.take(job.spec);
-    survey_.array_demand -= job.spec.cpus;
+    survey_.array_task_placed(job.spec);
     ++placed;
     // The capacity is smaller now, and the team's share larger.
-    const auto at = static_cast<std::size_t>(best - turns.begin());
-    for (std::size_t i = turns.size(); i-- > 0;)
-      if ((i == at || !free.fits((*turns[i].queue)[turns[i].at]->spec)) && !next(turns[i]))
+    const auto placed_turn = static_cast<std::size_t>(best - turns.begin());
+    for (std::size_t i = turns.size(); i-- > 0;) {
+      const bool still_fits = i != placed_turn && free.fits(turns[i].job().spec);
+      if (!still_fits && !find_fitting_array(turns[i], machine, free))
         turns.erase(turns.begin() + static_cast<std::ptrdiff_t>(i));
+    }
   }
   return placed;
 }
 
-// With long heartbeat intervals, work that has come would wait for most of one: the leader launches by direct
-// commands.
+// With long heartbeat intervals new work would wait for most of one: the leader launches it by direct
+// commands on machines with free capacity.
 void Scheduler::fill_idle() {
-  if (!direct_.launches_directly() || queues_.empty() || survey_.array_demand <= 0) return;
+  if (!direct_.launches_directly() || queue_order_.queues().empty() || survey_.array_demand_cpus() <= 0)
+    return;
   for (auto& [name, machine] : context_.machines.all()) {
     if (!direct_.can_send() || !direct_.within_budget()) return;
     if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -38,13 +38,13 @@
     if (job->gang != GangState::kRunning) check_gang(*job);
     if (job->gang == GangState::kQueued) waiting_gangs_.push_back(job.get());
   }
-  sort_tiers();
-  if (now >= next_queues_) sort_queues();
-  if (now >= next_survey_) survey();
+  update_tiers();
+  if (queue_order_.sort_due()) sort_queues();
+  survey_.refresh_if_due(queue_order_.queues());
   std::vector<std::pair<Rank, Job*>> queue;
   for (Job* job : waiting_gangs_)
     if (now >= job->backoff_until && job->runs.empty() && !unreconciled_.may_hold_tasks_of(*job))
-      queue.emplace_back(rank(*job, job->spec.tasks), job);
+      queue.emplace_back(queue_order_.rank(*job, job->spec.tasks), job);
   std::vector<Offer> open;
   if (!queue.empty()) {
     for (auto& [name, machine] : context_.machines.all())
@@ -72,7 +72,7 @@
     if (!hopeless && place_gang(*job, open)) {
       std::erase(waiting_gangs_, job);
       for (auto& [rank_of, other] : queue)
-        if (other->spec.team == spec.team) rank_of = rank(*other, other->spec.tasks);
+        if (other->spec.team == spec.team) rank_of = queue_order_.rank(*other, other->spec.tasks);
       continue;
     }
     if (!hopeless) failed.push_back(&spec);
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -24,6 +24,11 @@
 // Up, heard of lately, not cordoned, not about to be taken.
 bool takes_work(const ControllerContext& context, const bookkeeping::Machine& machine);
 
+// Runs tasks of a gang, or holds capacity for some.
+inline bool has_gang(const bookkeeping::Machine& machine) {
+  return machine.gang_tasks > 0 || !machine.reservations.empty();
+}
+
 // The job's tasks by zone, old attempts and reservations included; tasks whose place is unknown count for
 // every zone.
 struct ZoneCount {
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "constants.hpp"
+#include "coordination/scheduling/array_tiers.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
@@ -45,6 +46,8 @@
           {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
            [this](protocol::JobId id) { read_job(id); }}),
       arrivals_(context, run_times_),
+      queue_order_(context, run_times_),
+      survey_(context, arrivals_),
       placements_(context),
       unreconciled_(context),
       direct_(context, election, actions_.direct),
@@ -72,7 +75,22 @@
 
 // The machine has proved what is on it, or that nothing of an earlier leader can be.
 void Scheduler::mark_reconciled(Machine& machine) {
-  if (unreconciled_.mark_reconciled(machine)) dirty_ = queues_dirty_ = true;
+  if (unreconciled_.mark_reconciled(machine)) {
+    dirty_ = true;
+    queue_order_.mark_changed();
+  }
+}
+
+void Scheduler::sort_queues() {
+  queue_order_.sort();
+  placements_.clear_array_unqueued();
+}
+
+void Scheduler::update_tiers() {
+  if (context_.now.steady < next_tiers_) return;
+  next_tiers_ = context_.now.steady + c::kTiersEveryS;
+  dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
+  assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
 }
 
 // ---------------------------------------------------------------- time
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -20,8 +20,10 @@
 #include "coordination/leader/machine_record_writer.hpp"
 #include "coordination/routing/job_lookup.hpp"
 #include "coordination/scheduling/arrival_history.hpp"
+#include "coordination/scheduling/capacity_survey.hpp"
 #include "coordination/scheduling/placement.hpp"
 #include "coordination/scheduling/placements.hpp"
+#include "coordination/scheduling/queue_order.hpp"
 #include "coordination/scheduling/run_times.hpp"
 #include "coordination/scheduling/unreconciled_machines.hpp"
 
@@ -96,15 +98,13 @@
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
   // Time until the job should be over: by its own due time or by its class's aim.
-  double time_left(const bookkeeping::Job& job) const;
+  double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
   // What the fleet asks of the arrival history.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
-  static bool has_gang(const bookkeeping::Machine& machine) {
-    return machine.gang_tasks > 0 || !machine.reservations.empty();
-  }
+  static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
   std::size_t unreconciled_machines() const { return unreconciled_.count(); }
@@ -158,25 +158,12 @@
   void cordon(bookkeeping::Machine& machine, const char* why);
   void mark_reconciled(bookkeeping::Machine& machine);
   // ---- placing ----
-  struct Rank {
-    bool borrows;
-    int priority;
-    int tier;
-    double share;
-    double due;
-    std::int64_t submitted;
-    protocol::JobId id;
-    // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons.
-    auto operator<=>(const Rank&) const = default;
-  };
-  Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
-  bool waited_too_long(const bookkeeping::Job& job) const;
-  void sort_tiers();
-  void survey();
+  void update_tiers();
   void sort_queues();
-  int capacity_class(const bookkeeping::Machine& machine) const;
-  bool array_fits(bookkeeping::Job& job, bookkeeping::Machine& machine, const Resources& resources,
-                  std::uint32_t& slots);
+  bool array_fits(const bookkeeping::Job& job, const bookkeeping::Machine& machine, const Resources& free);
+  struct ArrayTurn;
+  bool find_fitting_array(ArrayTurn& turn, const bookkeeping::Machine& machine, const Resources& free);
+  bool open_to_arrays(bookkeeping::Machine& machine);
   std::uint32_t fill(bookkeeping::Machine& machine);
   void fill_idle();
   bool take_round_due();
@@ -204,7 +191,6 @@
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
   bool has_remaining_tasks(protocol::JobId id);
-  double expected_duration(const bookkeeping::Job& job) const;
   void complete(bookkeeping::Job& job);
   void push_final(bookkeeping::Job& job);
   void sweep_jobs();
@@ -234,6 +220,8 @@
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
+  QueueOrder queue_order_;
+  CapacitySurvey survey_;
   Placements placements_;
   UnreconciledMachines unreconciled_;
   DirectCommands direct_;
@@ -244,17 +232,8 @@
   std::set<std::string> claimed_;            // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;  // machines with tasks that are to stop
-  std::map<std::string, std::vector<bookkeeping::Job*>>
-      queues_;  // arrays with tasks to place, by team, in order
-  bool queues_dirty_ = false;
-  double next_queues_ = 0, next_survey_ = 0;
+  std::set<std::string> stopping_;           // machines with tasks that are to stop
   std::map<std::string, double> gang_kept_;  // cpus of the teams' limits that waiting gangs will need
-  struct Survey {
-    double supply = 0;             // cpus of all machines up or booting
-    double better[3] = {0, 0, 0};  // free cpus on machines of a lower class
-    double array_demand = 0;       // cpus that unplaced array tasks could use
-  } survey_;
 };
 
 }  // namespace robinford::coordination
