--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -1,7 +1,12 @@
-// Rounds over the waiting gangs, and the reservations that a gang takes in them.
+/// @file
+/// Scheduler: rounds over the waiting gangs, and the reservations that a gang takes in them. docs/design.md,
+/// section "What was kept".
 #include <algorithm>
 #include <cmath>
+#include <map>
+#include <string>
 #include <utility>
+#include <vector>
 
 #include "constants.hpp"
 #include "coordination/scheduling/scheduler.hpp"
@@ -32,64 +37,110 @@
   claimed_.clear();
   context_.metrics.count("rounds");
   unreconciled_.charge_quota_if_changed();
+  check_gangs();
+  update_tiers();
+  if (queue_order_.sort_due()) sort_queues();
+  survey_.refresh_if_due(queue_order_.queues());
+  place_waiting_gangs();
+  keep_limits_for_waiting_gangs();
+  fill_idle();
+}
+
+// Moves gangs on to their next state, and lists those that wait for capacity.
+void Scheduler::check_gangs() {
   waiting_gangs_.clear();
   for (auto& [id, job] : context_.jobs.all()) {
     if (!job->spec.gang || job->state != JobState::kActive) continue;
     if (job->gang != GangState::kRunning) check_gang(*job);
     if (job->gang == GangState::kQueued) waiting_gangs_.push_back(job.get());
   }
-  update_tiers();
-  if (queue_order_.sort_due()) sort_queues();
-  survey_.refresh_if_due(queue_order_.queues());
-  std::vector<std::pair<Rank, Job*>> queue;
+}
+
+// What the gangs of one round share.
+struct Scheduler::GangRound {
+  std::vector<Offer> open;             // machines with free capacity
+  std::vector<const JobSpec*> failed;  // gangs that found no capacity in this round
+  int searches = 0;                    // for work to preempt
+  int claims = 0;                      // gangs that claimed machines
+};
+
+namespace {
+
+// Added before a product is rounded down: it may fall just short of the whole number that is meant.
+constexpr double kCountRounding = 1e-9;
+
+struct WaitingGang {
+  Rank rank;
+  Job* job;
+};
+
+// Whether `spec` can't find capacity where `failed` found none: it asks for as much or more, of machines by
+// the same rules.
+bool asks_no_less(const JobSpec& spec, const JobSpec& failed) {
+  return failed.cpus <= spec.cpus && failed.gpus <= spec.gpus && failed.memory_gb <= spec.memory_gb &&
+         failed.tasks <= spec.tasks && failed.spot == spec.spot && failed.zone == spec.zone &&
+         failed.types == spec.types && failed.one_zone == spec.one_zone && failed.spread == spec.spread;
+}
+
+}  // namespace
+
+void Scheduler::place_waiting_gangs() {
+  std::vector<WaitingGang> queue;
   for (Job* job : waiting_gangs_)
-    if (now >= job->backoff_until && job->runs.empty() && !unreconciled_.may_hold_tasks_of(*job))
-      queue.emplace_back(queue_order_.rank(*job, job->spec.tasks), job);
-  std::vector<Offer> open;
-  if (!queue.empty()) {
-    for (auto& [name, machine] : context_.machines.all())
-      if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
-        open.push_back({&machine, 0, 0});
-  }
-  int searches = 0, claims = 0;
-  std::vector<const JobSpec*> failed;  // what found no capacity in this round
+    if (context_.now.steady >= job->backoff_until && job->runs.empty() &&
+        !unreconciled_.may_hold_tasks_of(*job))
+      queue.push_back({queue_order_.rank(*job, job->spec.tasks), job});
+  if (queue.empty()) return;
+  GangRound round;
+  for (auto& [name, machine] : context_.machines.all())
+    if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
+      round.open.push_back({&machine, 0, 0});
   // The teams' shares move with each placement, so the next gang is chosen afresh after each.
   while (!queue.empty()) {
-    const auto best = std::min_element(queue.begin(), queue.end());
-    Job* job = best->second;
+    const auto best = std::min_element(
+        queue.begin(), queue.end(),
+        [](const WaitingGang& left, const WaitingGang& right) { return left.rank < right.rank; });
+    Job& job = *best->job;
     queue.erase(best);
-    const auto& spec = job->spec;
-    const auto alike = [&](const JobSpec* other) {
-      return other->cpus <= spec.cpus && other->gpus <= spec.gpus && other->memory_gb <= spec.memory_gb &&
-             other->tasks <= spec.tasks && other->spot == spec.spot && other->zone == spec.zone &&
-             other->types == spec.types && other->one_zone == spec.one_zone && other->spread == spec.spread;
-    };
-    if (!context_.quota.allows(spec, spec.tasks)) {
-      free_quota_for(*job);
+    if (!context_.quota.allows(job.spec, job.spec.tasks)) {
+      free_quota_for(job);
       continue;
     }
-    const bool hopeless = !job->avoid.empty() ? false : std::any_of(failed.begin(), failed.end(), alike);
-    if (!hopeless && place_gang(*job, open)) {
-      std::erase(waiting_gangs_, job);
-      for (auto& [rank_of, other] : queue)
-        if (other->spec.team == spec.team) rank_of = queue_order_.rank(*other, other->spec.tasks);
-      continue;
-    }
-    if (!hopeless) failed.push_back(&spec);
-    if (now >= job->next_preempt && searches < c::kPreemptsMost) {
-      ++searches;
-      job->next_preempt = now + c::kPreemptEveryS;
-      preempt_for(*job);
-    }
-    if (now - job->known_at > c::kClaimAfterS && claims < c::kClaimsMost) {
-      ++claims;
-      claim_machines(*job);
-      std::erase_if(open, [&](const Offer& offer) { return claimed_.contains(offer.machine->name); });
-    }
+    if (!try_gang(job, round)) continue;
+    std::erase(waiting_gangs_, &job);
+    for (auto& other : queue)
+      if (other.job->spec.team == job.spec.team)
+        other.rank = queue_order_.rank(*other.job, other.job->spec.tasks);
+  }
+  for (const auto& offer : round.open) offer.machine->offered = true;
+}
+
+// Places the gang, or else begins to make capacity for it. Returns whether it was placed.
+bool Scheduler::try_gang(Job& job, GangRound& round) {
+  const double now = context_.now.steady;
+  const bool hopeless = job.avoid.empty() &&
+                        std::any_of(round.failed.begin(), round.failed.end(),
+                                    [&](const JobSpec* failed) { return asks_no_less(job.spec, *failed); });
+  if (!hopeless) {
+    if (place_gang(job, round.open)) return true;
+    round.failed.push_back(&job.spec);
+  }
+  if (now >= job.next_preempt && round.searches < c::kPreemptsMost) {
+    ++round.searches;
+    job.next_preempt = now + c::kPreemptEveryS;
+    preempt_for(job);
+  }
+  if (now - job.known_at > c::kClaimAfterS && round.claims < c::kClaimsMost) {
+    ++round.claims;
+    claim_machines(job);
+    std::erase_if(round.open, [&](const Offer& offer) { return claimed_.contains(offer.machine->name); });
   }
-  for (const auto& offer : open) offer.machine->offered = true;
-  // What waiting gangs need of their teams' limits is not for arrays to take, also while it is still being
-  // freed: otherwise arrays take it back task by task and the gang never gets the whole.
+  return false;
+}
+
+// What waiting gangs need of their teams' limits is not for arrays to take, also while it is still being
+// freed: otherwise arrays take it back task by task and the gang never gets the whole.
+void Scheduler::keep_limits_for_waiting_gangs() {
   gang_kept_.clear();
   std::map<std::string, double> gang_cpus;
   for (const auto& [id, job] : context_.jobs.all())
@@ -103,48 +154,55 @@
     used += gang->spec.cpus * gang->spec.tasks;
     gang_kept_[gang->spec.team] += gang->spec.cpus * gang->spec.tasks;
   }
-  fill_idle();
 }
 
-bool Scheduler::place_gang(Job& job, std::vector<Offer>& open) {
+// The open machines that can take tasks of the gang, with the number that each can take.
+std::vector<Offer> Scheduler::offers_for(const Job& job, const std::vector<Offer>& open) {
   const double now = context_.now.steady;
   std::vector<Offer> offers;
-  std::uint32_t all = 0;
   for (const auto& offer : open) {
     Machine& machine = *offer.machine;
     const Resources& free = free_resources(context_, machine);
     if (!free.fits(job.spec) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot)) continue;
-    if (const auto avoided = job.avoid.find(machine.name);
-        avoided != job.avoid.end() && now < avoided->second)
-      continue;
+    const auto avoided = job.avoid.find(machine.name);
+    if (avoided != job.avoid.end() && now < avoided->second) continue;
     if (machine.reserved_by && *machine.reserved_by != job.spec.id && now < machine.reserved_until) continue;
     if (claimed_.contains(machine.name)) continue;
     // An earlier attempt of this gang stays listed there: a new one might be refused.
-    if (!machine.direct.empty() &&
+    const bool earlier_attempt =
         std::any_of(machine.direct.begin(), machine.direct.end(),
-                    [&](const auto& entry) { return entry.first.job == job.spec.id; }))
-      continue;
+                    [&](const auto& entry) { return entry.first.job == job.spec.id; });
+    if (earlier_attempt) continue;
     const auto slots = std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
     if (slots == 0) continue;
     offers.push_back({&machine, slots, free.cpus, machine.images.contains(job.spec.image)});
-    all += slots;
   }
-  if (all < job.spec.tasks) return false;
+  return offers;
+}
+
+// Reserves capacity for the whole gang; false if it does not fit. Removes machines without free capacity from
+// `open`.
+bool Scheduler::place_gang(Job& job, std::vector<Offer>& open) {
+  auto offers = offers_for(job, open);
+  std::uint32_t slots = 0;
+  for (const auto& offer : offers) slots += offer.slots;
+  if (slots < job.spec.tasks) return false;
   // Extra reservations only where the team's limit and the free capacity allow them.
-  auto extra = static_cast<std::uint32_t>(std::floor(job.spec.tasks * context_.policy.overbook + 1e-9));
+  auto extra =
+      static_cast<std::uint32_t>(std::floor(job.spec.tasks * context_.policy.overbook + kCountRounding));
   while (extra > 0 && !context_.quota.allows(job.spec, job.spec.tasks + extra)) --extra;
-  const auto spots =
+  const auto assignments =
       map_gang(job.spec, std::move(offers), job.spec.tasks, extra, context_.policy.concentrate);
-  if (!spots) return false;
-  for (const auto& spot : *spots) {
-    Machine& machine = *context_.machines.find(spot.machine);
-    for (std::uint32_t i = 0; i < spot.tasks; ++i) placements_.add_reservation(job, machine);
+  if (!assignments) return false;
+  for (const auto& assignment : *assignments) {
+    Machine& machine = *context_.machines.find(assignment.machine);
+    for (std::uint32_t i = 0; i < assignment.tasks; ++i) placements_.add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
     // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
     if (direct_.launches_directly() && direct_.can_send()) direct_.probe(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
-  JobLedger::set_gang(job, GangState::kReserving, now);
+  JobLedger::set_gang(job, GangState::kReserving, context_.now.steady);
   return true;
 }
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,9 +1,12 @@
-// Capacity and limits freed for a gang by stopping work of lower priority.
+/// @file
+/// Scheduler: capacity and limits freed for a gang by stopping work of lower priority.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <optional>
 #include <tuple>
 #include <utility>
+#include <vector>
 
 #include "constants.hpp"
 #include "coordination/scheduling/scheduler.hpp"
@@ -66,71 +69,92 @@
   send_stops();
 }
 
-// Capacity for a gang is made from work of lower priority, fewest lost seconds first.
-void Scheduler::preempt_for(Job& job) {
-  const double now = context_.now.steady;
-  for (const auto& [name, machine] : context_.machines.all())
-    if (machine.reserved_by == job.spec.id && now < machine.reserved_until)
-      return;  // capacity is being made already
+// A machine on which the gang gets capacity if these tasks stop.
+struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost;
-  };
-  struct Option {
-    Machine* machine;
-    std::vector<Victim> victims;
-    double lost = 0;
+    double lost;  // cpu seconds of its run so far
   };
-  std::vector<Option> options;
+  Machine* machine;
+  std::vector<Victim> victims;
+  double lost = 0;  // of all of them
+};
+
+// Whether capacity is being made for the gang already.
+bool Scheduler::has_reserved_machine(const Job& job) const {
+  const auto& machines = context_.machines.all();
+  return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
+    const Machine& machine = entry.second;
+    return machine.reserved_by == job.spec.id && context_.now.steady < machine.reserved_until;
+  });
+}
+
+// The fewest tasks of lower priority that have to stop for one task of the gang, those that lose least first.
+// Empty when no tasks on the machine are enough.
+std::optional<Scheduler::PreemptionOption> Scheduler::preemption_option(const Job& job, Machine& machine) {
+  using Victim = PreemptionOption::Victim;
+  std::vector<Victim> candidates;
+  for (const auto& id : machine.tasks) {
+    const Job* other = context_.jobs.find(id.job);
+    if (other == nullptr || other->spec.gang || other->priority() >= job.priority()) continue;
+    const auto& run = other->runs.at(id.index);
+    const double ran_s = run.running_since > 0 ? context_.now.steady - run.running_since : 0;
+    candidates.push_back({id, ran_s * other->spec.cpus});
+  }
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Victim& left, const Victim& right) { return left.lost < right.lost; });
+  PreemptionOption option{&machine, {}, 0};
+  Resources free = free_resources(context_, machine);
+  for (const auto& victim : candidates) {
+    if (free.fits(job.spec)) break;
+    free.give(context_.jobs.find(victim.task.job)->spec);
+    option.victims.push_back(victim);
+    option.lost += victim.lost;
+  }
+  if (!free.fits(job.spec)) return std::nullopt;
+  return option;
+}
+
+// Stops the tasks, and keeps the machine for the gang.
+void Scheduler::preempt(const Job& job, const PreemptionOption& option) {
+  option.machine->reserved_by = job.spec.id;
+  option.machine->reserved_until =
+      context_.now.steady + std::max(c::kReserveS, 3 * context_.settings.heartbeat_interval_s);
+  for (const auto& victim : option.victims) {
+    Job* other = context_.jobs.find(victim.task.job);
+    stop_run(*other, victim.task.index, 0);
+    placements_.return_task(*other, victim.task.index);
+    context_.metrics.count("preempted");
+  }
+  spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
+               option.victims.size(), option.machine->name, option.lost);
+}
+
+// Capacity for a gang is made from work of lower priority, fewest lost seconds first.
+void Scheduler::preempt_for(const Job& job) {
+  const double now = context_.now.steady;
+  if (has_reserved_machine(job)) return;
+  std::vector<PreemptionOption> options;
   std::uint32_t free_slots = 0;
   for (auto& [name, machine] : context_.machines.all()) {
     if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot))
       continue;
-    if (const auto avoided = job.avoid.find(name); avoided != job.avoid.end() && now < avoided->second)
-      continue;
+    const auto avoided = job.avoid.find(name);
+    if (avoided != job.avoid.end() && now < avoided->second) continue;
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_.contains(name)) continue;
-    Resources free = free_resources(context_, machine);
-    if (free.fits(job.spec)) {
+    const Resources& free = free_resources(context_, machine);
+    if (free.fits(job.spec))
       free_slots += std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
-      continue;
-    }
-    std::vector<Victim> all;
-    for (const auto& id : machine.tasks) {
-      Job* other = context_.jobs.find(id.job);
-      if (other == nullptr || other->spec.gang || other->priority() >= job.priority()) continue;
-      const auto& run = other->runs.at(id.index);
-      const double ran = run.running_since > 0 ? now - run.running_since : 0;
-      all.push_back({id, ran * other->spec.cpus});
-    }
-    std::sort(all.begin(), all.end(), [](const Victim& a, const Victim& b) { return a.lost < b.lost; });
-    Option option{&machine, {}, 0};
-    for (const auto& victim : all) {
-      if (free.fits(job.spec)) break;
-      free.give(context_.jobs.find(victim.task.job)->spec);
-      option.victims.push_back(victim);
-      option.lost += victim.lost;
-    }
-    if (free.fits(job.spec)) options.push_back(std::move(option));
+    else if (auto option = preemption_option(job, machine))
+      options.push_back(std::move(*option));
   }
   if (free_slots >= job.spec.tasks) return;  // count is not what keeps it waiting (zones, say)
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
-  std::sort(options.begin(), options.end(), [](const Option& a, const Option& b) {
-    return std::tie(a.lost, a.machine->name) < std::tie(b.lost, b.machine->name);
+  std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
+    return std::tie(left.lost, left.machine->name) < std::tie(right.lost, right.machine->name);
   });
-  for (std::size_t i = 0; i < needed; ++i) {
-    options[i].machine->reserved_by = job.spec.id;
-    options[i].machine->reserved_until =
-        now + std::max(c::kReserveS, 3 * context_.settings.heartbeat_interval_s);
-    for (const auto& victim : options[i].victims) {
-      Job* other = context_.jobs.find(victim.task.job);
-      stop_run(*other, victim.task.index, 0);
-      placements_.return_task(*other, victim.task.index);
-      context_.metrics.count("preempted");
-    }
-    spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
-                 options[i].victims.size(), options[i].machine->name, options[i].lost);
-  }
+  for (std::size_t i = 0; i < needed; ++i) preempt(job, options[i]);
   send_stops();
 }
 
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -57,7 +57,6 @@
   /// Fills and sorts the queues. To be called before jobs that may be in a queue are erased from the ledger,
   /// once they are over.
   void sort();
-  Queues& queues() { return queues_; }
   const Queues& queues() const { return queues_; }
 
  private:
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -168,8 +168,19 @@
   void fill_idle();
   bool take_round_due();
   void round();
+  struct GangRound;
+  void check_gangs();
+  void place_waiting_gangs();
+  bool try_gang(bookkeeping::Job& job, GangRound& round);
+  void keep_limits_for_waiting_gangs();
+  std::vector<Offer> offers_for(const bookkeeping::Job& job, const std::vector<Offer>& open);
   bool place_gang(bookkeeping::Job& job, std::vector<Offer>& open);
-  void preempt_for(bookkeeping::Job& job);
+  struct PreemptionOption;
+  bool has_reserved_machine(const bookkeeping::Job& job) const;
+  std::optional<PreemptionOption> preemption_option(const bookkeeping::Job& job,
+                                                    bookkeeping::Machine& machine);
+  void preempt(const bookkeeping::Job& job, const PreemptionOption& option);
+  void preempt_for(const bookkeeping::Job& job);
   void free_quota_for(bookkeeping::Job& job);
   void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
