--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -19,7 +19,6 @@
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
 using protocol::JobId;
-using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
@@ -192,10 +191,10 @@
         (context_.now.wall_ms - job.submitted_ms) / 1000.0,
         job.first_start > 0 ? job.first_start - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
         job.spec.estimate_s, job.ran_count > 0 ? job.ran_sum / job.ran_count : 0.0, time_left(job));
-  queues_dirty_ = true;
+  queue_order_.mark_changed();
   if (context_.job_over) context_.job_over(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
-  release_reservations(job);
+  placements_.release_reservations(job);
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) {
@@ -207,12 +206,18 @@
   send_stops();
 }
 
+void Scheduler::arrived(const Job& job) {
+  run_times_.estimated(job.spec);
+  arrivals_.record(job, time_left(job));
+}
+
 void Scheduler::job_added(Job& job) {
   if (job.state == JobState::kWaiting)
     dependencies_.watch(job);
   else
     arrived(job);
-  dirty_ = queues_dirty_ = true;
+  dirty_ = true;
+  queue_order_.mark_changed();
 }
 
 // Its clocks, but for the deadline, begin here.
@@ -223,7 +228,8 @@
   job.ready_on_record = false;
   job.known_at = context_.now.steady;
   context_.metrics.count("jobs_released");
-  dirty_ = queues_dirty_ = true;
+  dirty_ = true;
+  queue_order_.mark_changed();
   if (phase_ != LeaderPhase::kLoading) arrived(job);
 }
 
@@ -265,14 +271,8 @@
 
 // Whether a machine shows tasks of the job, or may still hold some.
 bool Scheduler::has_remaining_tasks(JobId id) {
-  const bool strayed =
-      std::any_of(unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
-        const Machine* machine = context_.machines.find(name);
-        return machine != nullptr &&
-               std::any_of(machine->unknown_tasks.begin(), machine->unknown_tasks.end(),
-                           [&](const TaskStatus& unknown_task) { return unknown_task.task.job == id; });
-      });
-  return strayed || std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
+  return placements_.unknown_task_shown(id) ||
+         std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
            const Machine* machine = context_.machines.find(name);
            return machine != nullptr && machine->overdue.contains(id);
          });
@@ -291,7 +291,8 @@
       write_derived_cancellation(*job);
       continue;
     }
-    if (job->runs.empty() && job->reservations.empty() && !blocked(*job) && !has_remaining_tasks(id))
+    if (job->runs.empty() && job->reservations.empty() && !unreconciled_.may_hold_tasks_of(*job) &&
+        !has_remaining_tasks(id))
       gone.push_back(id);
   }
   if (gone.empty()) return;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -17,6 +17,7 @@
 
 void Scheduler::begin() {
   ++generation_;
+  machine_records_.reset();
   began_ = context_.now.steady;
   first_launch_seen_ = false;
   attempt_counter_ = 0;
@@ -30,17 +31,17 @@
   overdue_.clear();
   dependencies_.clear();
   loading_dependencies_ = false;
-  queues_.clear();
+  queue_order_.clear();
   stopping_.clear();
-  unknown_task_machines_.clear();
+  placements_.clear();
   unreconciled_.clear();
-  unreconciled_total_ = 0;
-  to_probe_.clear();
-  open_direct_.clear();
+  direct_.clear();
   gang_kept_.clear();
-  unreachable_ = 0;
-  queues_dirty_ = dirty_ = true;
-  next_queues_ = next_survey_ = next_watch_ = next_sweep_ = next_tiers_ = 0;
+  survey_.expire();
+  dirty_ = true;
+  next_watch_ = 0;
+  next_sweep_ = 0;
+  next_tiers_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
                             [this] { election_.guard_lost(); });
   set_phase(LeaderPhase::kLoading);
@@ -49,13 +50,14 @@
 
 void Scheduler::end() {
   ++generation_;
+  machine_records_.reset();
   change_log_.end();
   context_.writer.clear_guard();
   for (const auto& [key, heartbeat] : early_) actions_.answer(key, 421, {});
   early_.clear();
   waiting_gangs_.clear();
-  queues_.clear();
-  open_direct_.clear();
+  queue_order_.clear();
+  direct_.clear();
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
@@ -159,9 +161,8 @@
     if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
-    ++unreconciled_[Kind{machine.type, machine.zone, machine.spot}];
-    ++unreconciled_total_;
-    if (!machine.addr.empty()) to_probe_.push_back(name);
+    unreconciled_.add(machine);
+    if (!machine.addr.empty()) direct_.plan_probe(name);
   }
   for (auto& [id, job] : context_.jobs.all()) {
     // The list may have been made just before another controller withdrew the job.
@@ -172,7 +173,7 @@
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
     if (job->state == JobState::kActive) arrived(*job);
   }
-  count_unreconciled();
+  unreconciled_.charge_quota();
   // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
   // one that hangs also after its lease.
   for (const auto& [id, job] : context_.jobs.all()) {
@@ -185,7 +186,7 @@
   context_.cancellations.change_log_read(election_.last_renewed());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   reconcile_until_ =
-      context_.now.steady + (unreconciled_total_ > 0 ? round : std::min(round, c::kNobodyYetS));
+      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
   spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
                context_.machines.all().size());
   set_phase(LeaderPhase::kReconciling);
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -3,18 +3,16 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 #include <utility>
 
 #include "constants.hpp"
+#include "coordination/scheduling/array_tiers.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
 using bookkeeping::Job;
 using bookkeeping::JobState;
 using bookkeeping::Machine;
-using bookkeeping::TaskRun;
-using protocol::TaskStatus;
 
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
@@ -34,22 +32,10 @@
   return "?";
 }
 
-// By heartbeats a gang waits for two of them, one that confirms its reservations and one whose answer
-// launches. That is worth a connection for each launch where it takes a good part of the shortest start that
-// users expect.
-bool launches_directly(const protocol::Settings& settings) {
-  double shortest = c::kDirectDefaultWaitS;
-  for (const auto& objective : settings.objectives)
-    if (objective.kind == "wait" || objective.kind == "guarantee")
-      shortest = std::min(shortest, objective.within_s);
-  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitter > shortest * c::kDirectWaitShare;
-}
-
 Scheduler::Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions,
                      Actions actions)
     : context_(context),
       election_(election),
-      versions_(versions),
       actions_(std::move(actions)),
       change_log_(context, election,
                   {[this](protocol::JobId id) { on_cancelled_elsewhere(id); },
@@ -59,10 +45,13 @@
           context, lookup_,
           {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
            [this](protocol::JobId id) { read_job(id); }}),
-      directly_(launches_directly(context.settings)),
-      probe_budget_(
-          std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore) * context.settings.count,
-          std::max(c::kDirectLeast, context.settings.cpu_share * c::kDirectPerCore)) {}
+      arrivals_(context, run_times_),
+      queue_order_(context, run_times_),
+      survey_(context, arrivals_),
+      placements_(context),
+      unreconciled_(context),
+      direct_(context, election, actions_.direct),
+      machine_records_(context, election, versions) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
@@ -72,160 +61,36 @@
   if (phase == LeaderPhase::kServing) serving_since_ = context_.now.steady;
 }
 
-// ---------------------------------------------------------------- running accounts
-
-// How long the job waited until capacity of its team's limit was its own; not where another controller
-// granted it before.
-void Scheduler::note_grant(Job& job) {
-  if (std::exchange(job.was_placed, true) || job.before || context_.quota.granted(job.spec.id)) return;
-  context_.metrics.record(Metrics::Spread::kGrantWait, context_.now.steady - job.known_at);
-}
-
-void Scheduler::place_run(Job& job, std::uint32_t index, TaskRun run, Machine& machine) {
-  job.take_task(index);
-  job.runs.emplace(index, std::move(run));
-  machine.tasks.insert({job.spec.id, index});
-  machine.free_resources_known = false;
-  if (job.spec.gang) {
-    ++machine.gang_tasks;
-    machine.gang_cpus += job.spec.cpus;
-  }
-  note_grant(job);
-  context_.quota.charge(job.spec, 1);
-}
-
-void Scheduler::drop_run(Job& job, std::uint32_t index) {
-  const auto found = job.runs.find(index);
-  if (found == job.runs.end()) return;
-  if (Machine* machine = context_.machines.find(found->second.machine)) {
-    machine->tasks.erase({job.spec.id, index});
-    machine->free_resources_known = machine->offered = false;
-    if (job.spec.gang) {
-      --machine->gang_tasks;
-      machine->gang_cpus -= job.spec.cpus;
-    }
-  }
-  context_.quota.refund(job.spec, 1);
-  job.runs.erase(found);
-  dirty_ = true;
-}
-
-void Scheduler::give_back(Job& job, std::uint32_t index) {
-  job.give_back(index);
-  if (!job.queued) queues_dirty_ = true;
-}
-
-void Scheduler::add_reservation(Job& job, Machine& machine) {
-  const double now = context_.now.steady;
-  job.reservations.push_back(
-      {machine.name, now, now + c::kReservationHeartbeats * context_.settings.heartbeat_interval_s, false});
-  machine.reservations.insert(job.spec.id);
-  machine.free_resources_known = false;
-  machine.gang_cpus += job.spec.cpus;
-  machine.idle_since = now;
-  note_grant(job);
-  context_.quota.charge(job.spec, 1);
-}
-
-void Scheduler::release_reservations(Job& job) {
-  for (const auto& reservation : job.reservations)
-    if (Machine* machine = context_.machines.find(reservation.machine)) {
-      machine->reservations.erase(job.spec.id);
-      machine->free_resources_known = machine->offered = false;
-      machine->gang_cpus -= job.spec.cpus;
-    }
-  context_.quota.refund(job.spec, static_cast<std::uint32_t>(job.reservations.size()));
-  job.reservations.clear();
-  dirty_ = true;
-}
-
-void Scheduler::set_unknown_tasks(Machine& machine, std::vector<TaskStatus> unknown_tasks) {
-  if (unknown_tasks.empty() && machine.unknown_tasks.empty()) return;
-  context_.quota.refund_unknown_tasks(machine);
-  machine.unknown_tasks = std::move(unknown_tasks);
-  machine.free_resources_known = false;
-  context_.quota.charge_unknown_tasks(machine, context_.jobs);
-  if (machine.unknown_tasks.empty())
-    unknown_task_machines_.erase(machine.name);
-  else
-    unknown_task_machines_.insert(machine.name);
+std::string Scheduler::audit() {
+  if (phase_ == LeaderPhase::kNone || phase_ == LeaderPhase::kLoading)
+    return {};  // the sums begin when the ledger is read
+  if (auto difference = placements_.audit(); !difference.empty()) return difference;
+  const auto& machines = context_.machines.all();
+  const auto unreconciled = std::count_if(machines.begin(), machines.end(),
+                                          [](const auto& entry) { return entry.second.unreconciled; });
+  if (static_cast<std::size_t>(unreconciled) == unreconciled_.count()) return {};
+  return std::to_string(unreconciled) + " machines are unreconciled, the accounts say " +
+         std::to_string(unreconciled_.count());
 }
 
 // The machine has proved what is on it, or that nothing of an earlier leader can be.
 void Scheduler::mark_reconciled(Machine& machine) {
-  if (!machine.unreconciled) return;
-  machine.unreconciled = false;
-  const auto found = unreconciled_.find(Kind{machine.type, machine.zone, machine.spot});
-  if (found != unreconciled_.end() && --found->second <= 0) unreconciled_.erase(found);
-  --unreconciled_total_;
-  unreconciled_dirty_ = dirty_ = queues_dirty_ = true;
+  if (unreconciled_.mark_reconciled(machine)) {
+    dirty_ = true;
+    queue_order_.mark_changed();
+  }
 }
 
-// Machines that have proved nothing yet may hold any unplaced task of the jobs that an earlier leader knew.
-// Between two counts the sum can only be too high: tasks are adopted and machines seen, and no new task gets
-// there.
-void Scheduler::count_unreconciled() {
-  unreconciled_dirty_ = false;
-  std::map<std::string, bookkeeping::Usage> usage;
-  if (unreconciled_total_ > 0) {
-    for (const auto& [id, job] : context_.jobs.all()) {
-      if (!job->before) continue;
-      double cpus = 0, gpus = 0;
-      for (const auto& [kind, count] : unreconciled_) {
-        if (!kind_allowed(job->spec, std::get<0>(kind), std::get<1>(kind), std::get<2>(kind))) continue;
-        const auto type = context_.types.find(std::get<0>(kind));
-        cpus += type == context_.types.end() ? c::kAmountMax : type->second.cpus * count;
-        gpus += type == context_.types.end() ? c::kAmountMax : type->second.gpus * count;
-      }
-      auto& used = usage[job->spec.team];
-      used.cpus += std::min(cpus, job->unplaced() * job->spec.cpus);
-      used.gpus += std::min(gpus, job->unplaced() * job->spec.gpus);
-    }
-  }
-  context_.quota.set_unreconciled(std::move(usage));
+void Scheduler::sort_queues() {
+  queue_order_.sort();
+  placements_.clear_array_unqueued();
 }
 
-std::string Scheduler::audit() {
-  if (phase_ == LeaderPhase::kNone || phase_ == LeaderPhase::kLoading)
-    return {};  // the accounts begin when the ledger is read
-  const auto right = context_.quota.recount(context_.jobs, context_.machines);
-  const auto& accounts = context_.quota.running();
-  for (const auto& team : context_.settings.teams) {
-    const auto a = right.find(team.name), b = accounts.find(team.name);
-    const double want = a == right.end() ? 0 : a->second.cpus,
-                 have = b == accounts.end() ? 0 : b->second.cpus;
-    if (std::abs(want - have) > 1e-4)
-      return "team " + team.name + " uses " + std::to_string(want) + " cpus, the accounts say " +
-             std::to_string(have);
-  }
-  std::size_t unreconciled = 0;
-  for (auto& [name, machine] : context_.machines.all()) {
-    unreconciled += machine.unreconciled ? 1 : 0;
-    const Resources counted = count_free_resources(context_, machine);
-    if (machine.free_resources_known && machine.unknown_tasks.empty() &&
-        std::abs(counted.cpus - machine.free_resources.cpus) > 1e-4)
-      return "machine " + name + " has " + std::to_string(counted.cpus) + " cpus free, the accounts say " +
-             std::to_string(machine.free_resources.cpus);
-    double gangs = 0;
-    for (const auto& task : machine.tasks)
-      if (const Job* job = context_.jobs.find(task.job); job != nullptr && job->spec.gang)
-        gangs += job->spec.cpus;
-    for (const auto id : machine.reservations)
-      for (const auto& reservation : context_.jobs.find(id)->reservations)
-        if (reservation.machine == name) gangs += context_.jobs.find(id)->spec.cpus;
-    if (std::abs(gangs - machine.gang_cpus) > 1e-4)
-      return "machine " + name + ": gangs take " + std::to_string(gangs);
-  }
-  if (unreconciled != unreconciled_total_)
-    return std::to_string(unreconciled) + " machines are unreconciled, the accounts say " +
-           std::to_string(unreconciled_total_);
-  for (const auto& [id, job] : context_.jobs.all())
-    for (const auto& [index, run] : job->runs) {
-      const Machine* machine = context_.machines.find(run.machine);
-      if (machine == nullptr || !machine->tasks.contains({id, index}))
-        return "a run of " + name_of(*job) + " is on no machine's list";
-    }
-  return {};
+void Scheduler::update_tiers() {
+  if (context_.now.steady < next_tiers_) return;
+  next_tiers_ = context_.now.steady + c::kTiersEveryS;
+  dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
+  assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
 }
 
 // ---------------------------------------------------------------- time
@@ -252,7 +117,7 @@
     if (!dependencies_.release_decided()) return;
     loaded();
   }
-  probe_budget_.refill(now);
+  direct_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
     dirty_ = true;
@@ -265,11 +130,11 @@
   if (!election_.valid()) return;
   change_log_.tick();
   dependencies_.tick();
-  probe_unreconciled();
-  write_groups();
+  direct_.send_planned_probes();
+  machine_records_.write_due();
   if (now >= next_sweep_) {
     next_sweep_ = now + c::kSweepEveryS;
-    if (unreconciled_dirty_) count_unreconciled();
+    unreconciled_.charge_quota_if_changed();
     sweep_jobs();
     change_log_.delete_uncollected();
   }
@@ -282,7 +147,7 @@
 }
 const char* Scheduler::why_waiting(const Job& job) const {
   if (context_.now.steady < job.backoff_until) return "backs off after failures";
-  if (blocked(job)) return "an unresponsive machine may still run its tasks";
+  if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
     return "its team's limit is reached";
   if (job.tier > 0) return "steps back: it would be late anyway";
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -3,13 +3,11 @@
 // gangs; direct.cpp direct commands.
 #pragma once
 
-#include <deque>
 #include <functional>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "constants.hpp"
@@ -18,9 +16,16 @@
 #include "coordination/election/peer_versions.hpp"
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
+#include "coordination/leader/direct_commands.hpp"
+#include "coordination/leader/machine_record_writer.hpp"
 #include "coordination/routing/job_lookup.hpp"
+#include "coordination/scheduling/arrival_history.hpp"
+#include "coordination/scheduling/capacity_survey.hpp"
 #include "coordination/scheduling/placement.hpp"
+#include "coordination/scheduling/placements.hpp"
+#include "coordination/scheduling/queue_order.hpp"
 #include "coordination/scheduling/run_times.hpp"
+#include "coordination/scheduling/unreconciled_machines.hpp"
 
 namespace robinford::coordination {
 
@@ -32,17 +37,6 @@
 };
 const char* to_text(LeaderPhase phase);
 
-// Whether launches go by direct commands on this site, and not only in the answers to heartbeats.
-bool launches_directly(const protocol::Settings& settings);
-
-// A command or probe that goes straight to a worker, from here or from another controller on our behalf.
-struct DirectCall {
-  std::uint64_t id = 0;
-  std::string addr;
-  std::uint64_t agent_epoch = 0;
-  std::vector<protocol::Command> commands;
-};
-
 class Scheduler {
  public:
   struct Actions {
@@ -91,7 +85,7 @@
 
   // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
-    if (phase_ == LeaderPhase::kReconciling && unreconciled_total_ == 0)
+    if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
   // The cloud confirmed that the machine is gone.
@@ -104,34 +98,21 @@
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
   // Time until the job should be over: by its own due time or by its class's aim.
-  double time_left(const bookkeeping::Job& job) const;
-  // Some gang of those that came lately fits the machine; one task of some gang takes most of it. Machines
-  // are kept ready for the latter only: a gang of small tasks finds its place beside other work.
-  bool suits_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fits; }
-  bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
-  static bool has_gang(const bookkeeping::Machine& machine) {
-    return machine.gang_tasks > 0 || !machine.reservations.empty();
-  }
-  // The last gang of which each task takes most of a machine; if there was none, the last gang.
-  const protocol::JobSpec* typical_gang() const;
-  double gang_rate() const;  // machines that arriving gangs fill, a second
-  void arrived(const bookkeeping::Job& job);
-  // Cores that the arrays of late arrivals keep busy, team by team up to its limit; less where they can wait
-  // for boots.
-  double array_load(double boot_s) const;
+  double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
+  // What the fleet asks of the arrival history.
+  bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
+  const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
+  double gang_rate() const { return arrivals_.gang_machines_per_second(); }
+  double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
+  static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
-  std::size_t unreconciled_machines() const { return unreconciled_total_; }
+  std::size_t unreconciled_machines() const { return unreconciled_.count(); }
   // What is wrong with the running accounts, by a count of everything; empty when nothing is. For tests.
   std::string audit();
 
  private:
-  using Kind = std::tuple<std::string, std::string, bool>;  // type, zone, spot
-  struct GangUse {
-    bool fits = false, fills = false;
-  };
-  GangUse gang_use(const bookkeeping::Machine& machine) const;
-  std::uint32_t tasks_a_machine(const protocol::JobSpec& spec) const;
+  void arrived(const bookkeeping::Job& job);
   void set_phase(LeaderPhase phase);
   // ---- loading ----
   void load_change_log();
@@ -175,43 +156,31 @@
   void note_undelivered(bookkeeping::Machine& machine, int by);
   void probe_if_suspect(bookkeeping::Machine& machine);
   void cordon(bookkeeping::Machine& machine, const char* why);
-  // ---- running accounts: every run and reservation comes and goes through these ----
-  void place_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
-                 bookkeeping::Machine& machine);
-  void note_grant(bookkeeping::Job& job);
-  void drop_run(bookkeeping::Job& job, std::uint32_t index);
-  void give_back(bookkeeping::Job& job, std::uint32_t index);
-  void add_reservation(bookkeeping::Job& job, bookkeeping::Machine& machine);
-  void release_reservations(bookkeeping::Job& job);
-  void set_unknown_tasks(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> unknown_tasks);
   void mark_reconciled(bookkeeping::Machine& machine);
-  void count_unreconciled();
   // ---- placing ----
-  struct Rank {
-    bool borrows;
-    int priority;
-    int tier;
-    double share;
-    double due;
-    std::int64_t submitted;
-    protocol::JobId id;
-    // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons.
-    auto operator<=>(const Rank&) const = default;
-  };
-  Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
-  bool waited_too_long(const bookkeeping::Job& job) const;
-  bool blocked(const bookkeeping::Job& job) const;
-  void sort_tiers();
-  void survey();
+  void update_tiers();
   void sort_queues();
-  int capacity_class(const bookkeeping::Machine& machine) const;
-  bool array_fits(bookkeeping::Job& job, bookkeeping::Machine& machine, const Resources& resources,
-                  std::uint32_t& slots);
+  bool array_fits(const bookkeeping::Job& job, const bookkeeping::Machine& machine, const Resources& free);
+  struct ArrayTurn;
+  bool find_fitting_array(ArrayTurn& turn, const bookkeeping::Machine& machine, const Resources& free);
+  bool open_to_arrays(bookkeeping::Machine& machine);
   std::uint32_t fill(bookkeeping::Machine& machine);
   void fill_idle();
+  bool take_round_due();
   void round();
+  struct GangRound;
+  void check_gangs();
+  void place_waiting_gangs();
+  bool try_gang(bookkeeping::Job& job, GangRound& round);
+  void keep_limits_for_waiting_gangs();
+  std::vector<Offer> offers_for(const bookkeeping::Job& job, const std::vector<Offer>& open);
   bool place_gang(bookkeeping::Job& job, std::vector<Offer>& open);
-  void preempt_for(bookkeeping::Job& job);
+  struct PreemptionOption;
+  bool has_reserved_machine(const bookkeeping::Job& job) const;
+  std::optional<PreemptionOption> preemption_option(const bookkeeping::Job& job,
+                                                    bookkeeping::Machine& machine);
+  void preempt(const bookkeeping::Job& job, const PreemptionOption& option);
+  void preempt_for(const bookkeeping::Job& job);
   void free_quota_for(bookkeeping::Job& job);
   void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
@@ -221,28 +190,18 @@
   void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
   // ---- direct commands ----
-  bool directly() const { return directly_; }
-  bool can_send_direct() const {
-    return open_direct_.size() <
-           static_cast<std::size_t>(context_.settings.max_connections / constants::kDirectSocketPart);
-  }
-  void direct(bookkeeping::Machine& machine, std::vector<protocol::Command> commands);
-  void probe(bookkeeping::Machine& machine) { direct(machine, {}); }
-  void probe_unreconciled();
+  void direct_command_failed(bookkeeping::Machine& machine);
+  void direct_command_answered(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
+  void return_reset_machine(bookkeeping::Machine& machine);
+  void requeue_reserving_gangs(bookkeeping::Machine& machine);
+  void check_reserving_gangs(bookkeeping::Machine& machine);
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
-  void write_groups();
-  double urgent_record_pause() const;
-  void write_group(const std::string& name, bookkeeping::MachineGroup& group);
-  void group_written(const std::string& name, const std::map<std::string, std::string>& addrs,
-                     const std::vector<std::string>& named, bookkeeping::WriteOutcome outcome,
-                     std::uint64_t mod_revision);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
   bool has_remaining_tasks(protocol::JobId id);
-  double expected_duration(const bookkeeping::Job& job) const;
   void complete(bookkeeping::Job& job);
   void push_final(bookkeeping::Job& job);
   void sweep_jobs();
@@ -256,12 +215,10 @@
 
   ControllerContext& context_;
   Election& election_;
-  const PeerVersions& versions_;
   Actions actions_;
   ChangeLog change_log_;
   JobLookup lookup_;
   Dependencies dependencies_;
-  const bool directly_;  // launches go straight to workers
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
   double began_ = 0, serving_since_ = 0, reconcile_until_ = 0, next_reconcile_check_ = 0;
@@ -273,46 +230,21 @@
   std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
+  ArrivalHistory arrivals_;
+  QueueOrder queue_order_;
+  CapacitySurvey survey_;
+  Placements placements_;
+  UnreconciledMachines unreconciled_;
+  DirectCommands direct_;
+  MachineRecordWriter machine_records_;
   std::set<std::string> overdue_;            // machines that may hold cancelled work
   std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
   std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
-  std::deque<std::pair<double, protocol::JobSpec>> recent_gangs_;
-  struct Arrival {
-    double at;
-    protocol::JobSpec spec;
-    double cores, allowed;
-  };
-  std::deque<Arrival> recent_arrays_;
-  std::set<std::string> claimed_;  // machines kept for a gang in the present round
+  std::set<std::string> claimed_;            // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;               // machines with tasks that are to stop
-  std::set<std::string> unknown_task_machines_;  // machines that show tasks nobody wants
-  std::map<Kind, int> unreconciled_;             // machines that may hold tasks of earlier leaders, by kind
-  std::size_t unreconciled_total_ = 0;
-  bool unreconciled_dirty_ = false;
-  std::deque<std::string> to_probe_;  // unreconciled machines to be asked directly
-  bookkeeping::TokenBucket probe_budget_;
-  std::map<std::string, std::vector<bookkeeping::Job*>>
-      queues_;  // arrays with tasks to place, by team, in order
-  bool queues_dirty_ = false;
-  double next_queues_ = 0, next_survey_ = 0;
+  std::set<std::string> stopping_;           // machines with tasks that are to stop
   std::map<std::string, double> gang_kept_;  // cpus of the teams' limits that waiting gangs will need
-  struct Survey {
-    double supply = 0;             // cpus of all machines up or booting
-    double better[3] = {0, 0, 0};  // free cpus on machines of a lower class
-    double array_demand = 0;       // cpus that unplaced array tasks could use
-  } survey_;
-  mutable std::map<Kind, GangUse> gang_use_;  // cache
-  mutable double gang_use_until_ = 0;
-  struct OpenDirect {
-    std::string machine;
-    std::uint64_t agent_epoch = 0, known_agent_epoch = 0, known_seq = 0;
-    std::vector<std::pair<protocol::TaskId, std::uint64_t>> launches;
-  };
-  std::map<std::uint64_t, OpenDirect> open_direct_;
-  std::uint64_t direct_counter_ = 0;
-  std::size_t unreachable_ = 0;  // machines cordoned because they hear nothing
 };
 
 }  // namespace robinford::coordination
