--- /dev/null
+++ b/src/coordination/routing/peer_table.cpp
@@ -0,0 +1,92 @@
+/// @file
+/// Implementation of PeerTable.
+#include "coordination/routing/peer_table.hpp"
+
+#include <algorithm>
+#include <vector>
+
+#include "constants.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+
+namespace {
+/// Takes the followers in turn; empty if there is none.
+std::string next_in_turn(const std::vector<const std::string*>& followers, std::size_t& position) {
+  if (followers.empty()) return {};
+  return *followers[position++ % followers.size()];
+}
+}  // namespace
+
+PeerTable::PeerTable(const protocol::Settings& settings) {
+  for (const auto& peer : settings.peers) peers_[peer.member];
+}
+
+void PeerTable::link_down(const std::string& member) {
+  Peer& peer = peers_[member];
+  peer.linked = false;
+  peer.last_contact = kNever;
+}
+
+PeerTable::StatusOutcome PeerTable::apply_status(const protocol::PeerMessage& status, double now) {
+  Peer& peer = peers_.at(status.member);
+  // A late status of an earlier process must not undo what its successor said.
+  if (status.incarnation < peer.incarnation && status.term < peer.term) return StatusOutcome::kOutdated;
+  peer.incarnation = status.incarnation;
+  peer.term = status.term;
+  peer.leading = status.leading;
+  peer.ready = status.ready;
+  peer.state_ok = status.state_ok;
+  peer.last_contact = now;
+  return StatusOutcome::kApplied;
+}
+
+std::string PeerTable::leader(double now) const {
+  std::string best;
+  std::uint64_t best_term = 0;
+  for (const auto& [member, peer] : peers_) {
+    if (!peer.linked || !peer.leading || silence(peer, now) > c::kPeerFreshS || peer.term < best_term)
+      continue;
+    best = member;
+    best_term = peer.term;
+  }
+  return best;
+}
+
+bool PeerTable::any_heard(double now) const {
+  return std::any_of(peers_.begin(), peers_.end(),
+                     [now](const auto& entry) { return silence(entry.second, now) < c::kPeerFreshS; });
+}
+
+bool PeerTable::has_ready_leader(double now) const {
+  return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
+    const Peer& peer = entry.second;
+    return silence(peer, now) <= c::kPeerFreshS && peer.linked && peer.leading && peer.ready;
+  });
+}
+
+bool PeerTable::any_reaches_state(double now) const {
+  return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
+    return silence(entry.second, now) <= c::kPeerFreshS && entry.second.state_ok;
+  });
+}
+
+bool PeerTable::is_fresh_follower(const Peer& peer, double now) {
+  return peer.linked && !peer.leading && silence(peer, now) < c::kPeerFreshS;
+}
+
+std::string PeerTable::next_heartbeat_follower(double now) {
+  std::vector<const std::string*> followers;
+  for (const auto& [member, peer] : peers_)
+    if (is_fresh_follower(peer, now) && peer.state_ok) followers.push_back(&member);
+  return next_in_turn(followers, next_follower_);
+}
+
+std::string PeerTable::next_direct_call_follower(double now) {
+  std::vector<const std::string*> followers;
+  for (const auto& [member, peer] : peers_)
+    if (is_fresh_follower(peer, now)) followers.push_back(&member);
+  return next_in_turn(followers, next_follower_);
+}
+
+}  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/routing/pending_requests.cpp
@@ -0,0 +1,91 @@
+/// @file
+/// Implementation of PendingRequests.
+#include "coordination/routing/pending_requests.hpp"
+
+#include <utility>
+
+namespace robinford::coordination {
+using State = PendingRequest::State;
+
+RequestKey PendingRequests::add(PendingRequest request) {
+  const RequestKey key = next_++;
+  if (!request.is_heartbeat()) ++count_of(request.kind);
+  requests_.emplace(key, std::move(request));
+  return key;
+}
+
+PendingRequest* PendingRequests::find(RequestKey key) {
+  const auto found = requests_.find(key);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+PendingRequest* PendingRequests::find_forwarded(RequestKey key, const std::string& member) {
+  PendingRequest* request = find(key);
+  if (request == nullptr || request->state != State::kForwarded || request->forwarded_to != member)
+    return nullptr;
+  return request;
+}
+
+void PendingRequests::change_state(PendingRequest& request, State state) {
+  if (request.state == State::kParked) --parked_;
+  if (request.state == State::kForwarded) --forwarded_;
+  request.state = state;
+  if (state == State::kParked) ++parked_;
+  if (state == State::kForwarded) ++forwarded_;
+}
+
+void PendingRequests::settle_here(RequestKey key) { change_state(at(key), State::kLocal); }
+
+void PendingRequests::park(RequestKey key) { change_state(at(key), State::kParked); }
+
+void PendingRequests::forward(RequestKey key, const std::string& member, double forward_deadline) {
+  PendingRequest& request = at(key);
+  change_state(request, State::kForwarded);
+  request.forwarded_to = member;
+  request.forward_deadline = forward_deadline;
+}
+
+std::optional<PendingRequest> PendingRequests::remove(RequestKey key) {
+  const auto found = requests_.find(key);
+  if (found == requests_.end()) return std::nullopt;
+  change_state(found->second, State::kLocal);
+  PendingRequest request = std::move(found->second);
+  requests_.erase(found);
+  if (!request.is_heartbeat()) --count_of(request.kind);
+  return request;
+}
+
+std::vector<RequestKey> PendingRequests::parked_keys() const {
+  std::vector<RequestKey> keys;
+  for (const auto& [key, request] : requests_)
+    if (request.state == State::kParked) keys.push_back(key);
+  return keys;
+}
+
+std::vector<RequestKey> PendingRequests::keys_forwarded_to(const std::string& member) const {
+  std::vector<RequestKey> keys;
+  for (const auto& [key, request] : requests_)
+    if (request.state == State::kForwarded && request.forwarded_to == member) keys.push_back(key);
+  return keys;
+}
+
+std::vector<RequestKey> PendingRequests::overdue_keys(double now) const {
+  std::vector<RequestKey> keys;
+  for (const auto& [key, request] : requests_)
+    if (overdue(request, now) != Overdue::kNo) keys.push_back(key);
+  return keys;
+}
+
+PendingRequests::Overdue PendingRequests::overdue(RequestKey key, double now) const {
+  const auto found = requests_.find(key);
+  return found == requests_.end() ? Overdue::kNo : overdue(found->second, now);
+}
+
+PendingRequests::Overdue PendingRequests::overdue(const PendingRequest& request, double now) {
+  if (now >= request.deadline) return Overdue::kAnswer;
+  if (request.state == State::kForwarded && now >= request.forward_deadline && !request.is_heartbeat())
+    return Overdue::kForward;
+  return Overdue::kNo;
+}
+
+}  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/routing/request_router.cpp
@@ -0,0 +1,253 @@
+/// @file
+/// Routing of requests, and their answers. The messages of other controllers about requests are in
+/// forwarded_requests.cpp.
+#include "coordination/routing/request_router.hpp"
+
+#include <utility>
+
+#include "constants.hpp"
+#include "coordination/routing/request_route.hpp"
+#include "protocol/names.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+namespace n = names;
+using protocol::PeerKind;
+using protocol::PeerMessage;
+
+namespace {
+/// Cheaper than reading the whole description: no other field has a name like this.
+bool names_dependencies(const std::string& body) {
+  return body.find(std::string("\"") + n::kDependencies + "\"") != std::string::npos;
+}
+}  // namespace
+
+RequestRouter::RequestRouter(const Parts& parts)
+    : context_(parts.context),
+      election_(parts.election),
+      scheduler_(parts.scheduler),
+      versions_(parts.versions),
+      quota_leases_(parts.quota_leases),
+      job_requests_(parts.job_requests),
+      peers_(parts.peers),
+      frames_(parts.frames),
+      pending_((context_.random() >> c::kKeyBits) + 1),
+      forwarded_heartbeats_(context_.per_machine(c::kLastHeartbeatsPerMb)) {}
+
+// ---------------------------------------------------------------- requests by HTTP
+
+RequestRouter::Admission RequestRouter::accept_user_request(const protocol::HttpRequest& request,
+                                                            const std::string& path,
+                                                            PendingRequest::Kind kind) {
+  // Polls take no place from submissions: a flood of them once had these turned away.
+  if (pending_.in_progress(kind) >= context_.per_memory(c::kUserRequestsPerMb)) return Admission::kTooMany;
+  PendingRequest pending;
+  pending.kind = kind;
+  pending.method = request.method;
+  pending.target = path;
+  pending.body = request.body;
+  pending.token = request.token;
+  pending.deadline = context_.now.steady + c::kUserDeadlineS;
+  route(pending_.add(std::move(pending)));
+  return Admission::kAdmitted;
+}
+
+void RequestRouter::accept_heartbeat(std::uint64_t token, protocol::Heartbeat heartbeat) {
+  PendingRequest pending;
+  pending.kind = PendingRequest::Kind::kHeartbeat;
+  pending.heartbeat = std::move(heartbeat);
+  pending.token = token;
+  pending.deadline = context_.now.steady + c::kParkS;
+  route(pending_.add(std::move(pending)));
+}
+
+std::string RequestRouter::redirect_for_heartbeat() {
+  const double now = context_.now.steady;
+  if (now - heartbeat_window_began_ >= 1) {
+    heartbeat_window_began_ = now;
+    heartbeats_in_window_ = 0;
+  }
+  ++heartbeats_in_window_;
+  const auto limit = static_cast<std::size_t>(context_.settings.cpu_share * c::kDirectHeartbeatsPerCore);
+  return heartbeats_in_window_ <= limit ? std::string() : peers_.next_heartbeat_follower(now);
+}
+
+// ---------------------------------------------------------------- routing
+
+std::string RequestRouter::leader() const {
+  return election_.role() == Role::kLeading ? context_.settings.member : peers_.leader(context_.now.steady);
+}
+
+// Without the state service and without any other controller nobody will lead from here: workers should go
+// elsewhere.
+bool RequestRouter::leader_may_appear() const {
+  const double now = context_.now.steady;
+  return context_.state.reachable(now) || peers_.any_heard(now);
+}
+
+void RequestRouter::route(RequestKey key) {
+  const PendingRequest& request = pending_.at(key);
+  const std::string leader = this->leader();
+  if (request.peer || leader == context_.settings.member) return serve(key);
+  if (request.is_heartbeat()) {
+    if (scheduler_.phase() != LeaderPhase::kNone) return serve(key);
+    return leader.empty() ? park(key) : forward_heartbeat(key, leader);
+  }
+  if (leader.empty() || !peers_.is_ready(leader)) return serve(key);
+  // A leader of an older version would overlook what the job needs, and run it early.
+  if (names_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
+  forward_user_request(key, leader);
+}
+
+// A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
+void RequestRouter::park(RequestKey key) {
+  if (!leader_may_appear()) return refuse_heartbeat(key, 421);
+  if (pending_.parked() >= context_.per_machine(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
+  pending_.park(key);
+}
+
+void RequestRouter::forward_heartbeat(RequestKey key, const std::string& leader) {
+  if (pending_.forwarded() >= context_.per_machine(c::kForwardPerMb)) return refuse_heartbeat(key, 503);
+  const PendingRequest& request = pending_.at(key);
+  pending_.forward(key, leader, request.deadline);
+  PeerMessage message;
+  message.kind = PeerKind::kHeartbeat;
+  message.request = key;
+  message.heartbeat = request.heartbeat;
+  if (!request.in_full) {
+    if (const auto base = forwarded_heartbeats_.unchanged_since(leader, request.heartbeat)) {
+      message.kind = PeerKind::kUnchangedHeartbeat;
+      message.base_seq = *base;
+    }
+  }
+  frames_.send(leader, std::move(message));
+}
+
+void RequestRouter::forward_user_request(RequestKey key, const std::string& leader) {
+  if (pending_.forwarded() >= context_.per_memory(c::kForwardPerMb))
+    return answer(key, 503, c::kRetryAfterS, protocol::error_json("too many requests"));
+  const PendingRequest& request = pending_.at(key);
+  if (request.target == n::kPathJobs) quota_leases_.grant_submission(leader, request.body);
+  pending_.forward(key, leader, context_.now.steady + c::kForwardTimeoutS);
+  PeerMessage message;
+  message.kind = PeerKind::kForward;
+  message.request = key;
+  message.method = request.method;
+  message.target = request.target;
+  message.body = request.body;
+  frames_.send(leader, std::move(message));
+}
+
+void RequestRouter::serve(RequestKey key) {
+  pending_.settle_here(key);
+  PendingRequest& request = pending_.at(key);
+  if (request.is_heartbeat()) {
+    const auto heartbeat = std::move(request.heartbeat);
+    return scheduler_.heartbeat(key, heartbeat);
+  }
+  const auto route = parse_route(request.method, request.target);
+  const auto reply = [this, key](const UserAnswer& user_answer) { answer_user(key, user_answer); };
+  if (route.has_value()) {
+    if (route->target == RequestTarget::kSubmission) return job_requests_.submit(request.body, reply);
+    if (route->target == RequestTarget::kCancellation) return job_requests_.abort(route->job, reply);
+    if (route->target == RequestTarget::kPoll) return job_requests_.poll(route->job, reply);
+  }
+  // Only another controller's message gets here: requests by HTTP were checked when they came.
+  answer(key, 404, 0, protocol::error_json("no such job"));
+}
+
+// ---------------------------------------------------------------- events
+
+void RequestRouter::settle_overdue() {
+  const double now = context_.now.steady;
+  for (const auto key : pending_.overdue_keys(now)) {
+    switch (pending_.overdue(key, now)) {
+      case PendingRequests::Overdue::kNo:
+        break;  // answered together with an earlier one
+      case PendingRequests::Overdue::kForward:
+        serve(key);  // the leader does not answer
+        break;
+      case PendingRequests::Overdue::kAnswer:
+        if (pending_.at(key).is_heartbeat())
+          refuse_heartbeat(key, 503);
+        else
+          answer(key, 503, c::kRetryAfterS, protocol::error_json("no answer in time"));
+        break;
+    }
+  }
+}
+
+void RequestRouter::retry_parked() {
+  if (leader().empty()) return;
+  for (const auto key : pending_.parked_keys()) route(key);
+}
+
+void RequestRouter::on_link_down(const std::string& member) {
+  for (const auto key : pending_.keys_forwarded_to(member)) route(key);
+}
+
+// ---------------------------------------------------------------- answers
+
+// The one place where a user hears that a job is cancelled, or another controller does for its user.
+void RequestRouter::answer_user(RequestKey key, const UserAnswer& reply) {
+  if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
+  announce_cancellation(*reply.cancelled);
+  if (!election_.may_announce_cancellation(*reply.cancelled)) {
+    context_.metrics.count("cancellations_not_announced_yet");
+    return answer(key, 503, c::kRetryAfterS,
+                  protocol::error_json("it is withdrawn, and another controller has yet to hear of it"));
+  }
+  answer(key, reply.status, reply.retry_after_s, reply.body);
+}
+
+// All hear of it before the user does: whoever leads, or is about to, must not answer anything older, and
+// whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it
+// acknowledges it.
+void RequestRouter::announce_cancellation(protocol::JobId id) {
+  if (!context_.cancellations.announce(id)) return;
+  for (const auto& [member, peer] : peers_.all()) {
+    PeerMessage message;
+    message.kind = PeerKind::kCancellationsAnnounced;
+    message.first = context_.cancellations.announced();
+    message.jobs = {id};
+    frames_.send(member, std::move(message));
+    frames_.flush(member);
+  }
+}
+
+void RequestRouter::answer(RequestKey key, int status, int retry_after_s, std::string body) {
+  const auto request = pending_.remove(key);
+  if (!request) return;  // its deadline passed before
+  if (!request->peer) {
+    context_.out.replies.push_back({request->token, status, retry_after_s, std::move(body), false});
+    return;
+  }
+  PeerMessage message;
+  message.kind = PeerKind::kAnswer;
+  message.request = request->peer->request;
+  message.status = static_cast<std::uint64_t>(status);
+  message.retry_after_s = static_cast<std::uint64_t>(retry_after_s);
+  message.body = std::move(body);
+  frames_.send(request->peer->member, std::move(message));
+}
+
+void RequestRouter::answer_heartbeat(RequestKey key, int status, std::vector<protocol::Command> commands,
+                                     std::uint64_t term) {
+  const auto request = pending_.remove(key);
+  if (!request) return;  // its deadline passed before
+  if (!request->peer) {
+    std::string body = status == 200 ? protocol::commands_json(term, commands) : "{}";
+    context_.out.replies.push_back({request->token, status, 0, std::move(body), false});
+    return;
+  }
+  PeerMessage message;
+  message.kind = PeerKind::kCommands;
+  message.request = request->peer->request;
+  message.status = static_cast<std::uint64_t>(status);
+  message.commands = std::move(commands);
+  frames_.send(request->peer->member, std::move(message));
+}
+
+void RequestRouter::refuse_heartbeat(RequestKey key, int status) { answer_heartbeat(key, status, {}, 0); }
+
+}  // namespace robinford::coordination
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -53,9 +53,9 @@
             }),
         peer_server_(io_, c::kLinksPerMember * std::max<std::size_t>(1, settings.peers.size()),
                      [this](const std::string& frame) {
-                       const bool good = controller_.on_frame(now(), frame);
+                       const auto outcome = controller_.on_frame(now(), frame);
                        carry_out();
-                       return good;
+                       return outcome == coordination::Controller::FrameOutcome::kTaken;
                      }),
         state_(std::make_shared<transport::HttpClient>(io_, settings.state.host, settings.state.port,
                                                        c::kStateConnections)),
