--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -1,6 +1,8 @@
+/// @file
+/// Implementation of JobLookup.
 #include "coordination/routing/job_lookup.hpp"
 
-#include <memory>
+#include <optional>
 #include <set>
 #include <utility>
 #include <vector>
@@ -10,17 +12,19 @@
 namespace robinford::coordination {
 namespace c = constants;
 using bookkeeping::FinalState;
+using bookkeeping::Job;
 using bookkeeping::JobLedger;
 using bookkeeping::JobState;
 using bookkeeping::StateRead;
 using protocol::JobId;
+using What = JobLookup::Known::What;
 
-// A question that follows a waiting job's dependencies. The worklist bounds what it may cost.
+/// One lookup that follows a waiting job's dependencies, with a worklist instead of recursion.
 struct JobLookup::Walk {
   JobId id = 0;
-  Known live;
+  Known live;  ///< the answer if nothing that the job needs is cancelled
   Done done;
-  std::vector<JobId> open;
+  std::vector<JobId> to_check;
   std::set<JobId> seen;
 };
 
@@ -28,68 +32,80 @@
     : context_(context), cancelled_(std::move(cancelled)) {}
 
 void JobLookup::own_records(JobId id, Done done) {
-  if (const auto state = context_.jobs.final_state(id)) return done({Known::What::kFinal, *state, {}});
+  if (const auto state = context_.jobs.final_state(id)) return done({What::kFinal, *state, {}});
   context_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
     if (live.found == StateRead::Found::kUnknown) return done({});
-    if (live.found == StateRead::Found::kYes) {
-      if (!JobLedger::is_cancelled(live.value)) return done({Known::What::kLive, FinalState::kDone, live});
-      cancelled_(id);
-      return done({Known::What::kFinal, FinalState::kCancelled, {}});
-    }
     // A job moves from live to final and never back, so this order misses none.
-    context_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
-      if (final.found == StateRead::Found::kUnknown) return done({});
-      if (final.found == StateRead::Found::kNo) return done({Known::What::kNever, FinalState::kDone, {}});
-      const auto state = JobLedger::final_from_record(final.value);
-      if (!state) return done({});
-      if (*state == FinalState::kCancelled)
-        cancelled_(id);
-      else
-        context_.jobs.remember_final(id, *state);
-      done({Known::What::kFinal, *state, {}});
-    });
+    if (live.found == StateRead::Found::kNo) return read_final_record(id, done);
+    if (!JobLedger::is_cancelled(live.value)) return done({What::kLive, FinalState::kDone, live});
+    cancelled_(id);
+    done({What::kFinal, FinalState::kCancelled, {}});
+  });
+}
+
+void JobLookup::read_final_record(JobId id, const Done& done) {
+  context_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
+    if (final.found == StateRead::Found::kUnknown) return done({});
+    if (final.found == StateRead::Found::kNo) return done({What::kNever, FinalState::kDone, {}});
+    const auto state = JobLedger::final_from_record(final.value);
+    if (!state) return done({});
+    if (*state == FinalState::kCancelled)
+      cancelled_(id);
+    else
+      context_.jobs.remember_final(id, *state);
+    done({What::kFinal, *state, {}});
   });
 }
 
-void JobLookup::state(JobId id, Done done) {
+void JobLookup::state_with_dependencies(JobId id, Done done) {
   own_records(id, [this, id, done = std::move(done)](const Known& known) {
-    if (known.what != Known::What::kLive) return done(known);
+    if (known.what != What::kLive) return done(known);
     const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
     if (!job || job->state != JobState::kWaiting) return done(known);
-    auto walk = std::make_shared<Walk>(Walk{id, known, done, job->spec.dependencies, {}});
-    this->walk(walk);
+    follow_dependencies(std::make_shared<Walk>(Walk{id, known, done, job->spec.dependencies, {}}));
   });
 }
 
-void JobLookup::walk(const std::shared_ptr<Walk>& walk) {
-  while (!walk->open.empty()) {
-    const JobId next = walk->open.back();
-    walk->open.pop_back();
+void JobLookup::follow_dependencies(const WalkPtr& walk) {
+  while (!walk->to_check.empty()) {
+    const JobId next = walk->to_check.back();
+    walk->to_check.pop_back();
     if (!walk->seen.insert(next).second) continue;
     if (const auto state = context_.jobs.final_state(next)) {
       if (*state == FinalState::kDone) continue;
-      cancelled_(walk->id);
-      return walk->done({Known::What::kFinal, FinalState::kCancelled, {}});
+      return finish_as_cancelled(walk);
     }
+    // A user's question must not cost the state service any number of reads.
     if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
-    own_records(next, [this, walk](const Known& known) {
-      if (known.what == Known::What::kUnknown || known.what == Known::What::kNever) return walk->done({});
-      if (known.what == Known::What::kFinal && known.state == FinalState::kCancelled) {
-        cancelled_(walk->id);
-        return walk->done(known);
-      }
-      if (known.what == Known::What::kLive) {
-        const auto job =
-            JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
-        if (!job) return walk->done({});
-        if (job->state == JobState::kWaiting)
-          walk->open.insert(walk->open.end(), job->spec.dependencies.begin(), job->spec.dependencies.end());
-      }
-      this->walk(walk);
-    });
-    return;
+    return own_records(next, [this, walk](const Known& known) { on_dependency_read(walk, known); });
   }
   walk->done(walk->live);
 }
 
+void JobLookup::on_dependency_read(const WalkPtr& walk, const Known& dependency) {
+  switch (dependency.what) {
+    case What::kUnknown:
+    case What::kNever:
+      return walk->done({});
+    case What::kFinal:
+      if (dependency.state == FinalState::kCancelled) return finish_as_cancelled(walk);
+      break;
+    case What::kLive: {
+      const auto job =
+          JobLedger::from_record(dependency.live.value, dependency.live.mod_revision, context_.now.steady);
+      if (!job) return walk->done({});
+      if (job->state != JobState::kWaiting) break;
+      const auto& needs = job->spec.dependencies;
+      walk->to_check.insert(walk->to_check.end(), needs.begin(), needs.end());
+      break;
+    }
+  }
+  follow_dependencies(walk);
+}
+
+void JobLookup::finish_as_cancelled(const WalkPtr& walk) {
+  cancelled_(walk->id);
+  walk->done({What::kFinal, FinalState::kCancelled, {}});
+}
+
 }  // namespace robinford::coordination
--- a/src/coordination/routing/job_lookup.hpp
+++ b/src/coordination/routing/job_lookup.hpp
@@ -1,33 +1,50 @@
-// What the durable records say of a job, read afresh. Any controller can ask, leader or not.
+/// @file
+/// What the durable records say of a job: docs/design.md, "Dependencies".
 #pragma once
 
 #include <functional>
+#include <memory>
 
 #include "coordination/controller_context.hpp"
 
 namespace robinford::coordination {
 
+/// Reads the durable records of jobs afresh. Any controller can ask, leader or not. Nothing is kept but final
+/// states, which never change. `Done` is called once, at once if the answer is in memory, else in the step
+/// that brings the state service's answer.
 class JobLookup {
  public:
+  /// What was found out about a job.
   struct Known {
-    enum class What { kLive, kFinal, kNever, kUnknown } what = What::kUnknown;
-    bookkeeping::FinalState state = bookkeeping::FinalState::kDone;  // kFinal
-    bookkeeping::StateRead live;                                     // kLive
+    enum class What {
+      kLive,     ///< it was accepted and has no final state yet
+      kFinal,    ///< it has a final state
+      kNever,    ///< it was never accepted: neither of its records exists
+      kUnknown,  ///< a read went unanswered, or a record can't be read
+    } what = What::kUnknown;
+    bookkeeping::FinalState state = bookkeeping::FinalState::kDone;  ///< of kFinal
+    bookkeeping::StateRead live;                                     ///< of kLive: the record that was read
   };
   using Done = std::function<void(const Known&)>;
 
-  // `cancelled` hears of each job that a lookup finds to be cancelled.
+  /// `cancelled` is called for each job that a lookup finds to be cancelled, before the lookup's `Done`.
   JobLookup(ControllerContext& context, std::function<void(protocol::JobId)> cancelled);
 
-  // The job's own records.
+  /// What the job's own records say.
   void own_records(protocol::JobId id, Done done);
-  // Its state: a job is also cancelled while any job is that it needs, directly or through others. Derived
-  // from the records, so that no write has to follow a cancellation before this is the answer everywhere.
-  void state(protocol::JobId id, Done done);
+  /// The job's state: it is also cancelled while any job is that it needs, directly or through others. This
+  /// is derived from the records, so no write has to follow a cancellation before it is the answer
+  /// everywhere. kUnknown also if the job needs more than `kDependencyWalkMost` others.
+  void state_with_dependencies(protocol::JobId id, Done done);
 
  private:
   struct Walk;
-  void walk(const std::shared_ptr<Walk>& walk);
+  using WalkPtr = std::shared_ptr<Walk>;
+
+  void read_final_record(protocol::JobId id, const Done& done);
+  void follow_dependencies(const WalkPtr& walk);
+  void on_dependency_read(const WalkPtr& walk, const Known& dependency);
+  void finish_as_cancelled(const WalkPtr& walk);
 
   ControllerContext& context_;
   std::function<void(protocol::JobId)> cancelled_;
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -149,7 +149,7 @@
   const auto reply = [this, key](const UserAnswer& user_answer) { answer_user(key, user_answer); };
   if (route.has_value()) {
     if (route->target == RequestTarget::kSubmission) return job_requests_.submit(request.body, reply);
-    if (route->target == RequestTarget::kCancellation) return job_requests_.abort(route->job, reply);
+    if (route->target == RequestTarget::kCancellation) return job_requests_.cancel(route->job, reply);
     if (route->target == RequestTarget::kPoll) return job_requests_.poll(route->job, reply);
   }
   // Only another controller's message gets here: requests by HTTP were checked when they came.
--- /dev/null
+++ b/src/coordination/routing/user_answer.cpp
@@ -0,0 +1,61 @@
+/// @file
+/// Implementation of the answers to users.
+#include "coordination/routing/user_answer.hpp"
+
+#include "constants.hpp"
+#include "protocol/names.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+namespace n = names;
+using bookkeeping::FinalState;
+using bookkeeping::Job;
+using bookkeeping::JobLedger;
+using bookkeeping::JobState;
+using protocol::JobId;
+
+UserAnswer unavailable(const std::string& reason) {
+  return {503, c::kRetryAfterS, protocol::error_json(reason), std::nullopt};
+}
+
+UserAnswer refused(int status, const std::string& reason) {
+  return {status, 0, protocol::error_json(reason), std::nullopt};
+}
+
+UserAnswer final_state_answer(JobId id, FinalState state) {
+  UserAnswer answer{200, 0, protocol::job_state_json(id, bookkeeping::to_text(state)), std::nullopt};
+  if (state == FinalState::kCancelled) answer.cancelled = id;
+  return answer;
+}
+
+UserAnswer ledger_answer(const Job& job) {
+  // Its end may be durable already, and another controller may have read and announced it: nothing older may
+  // come from here.
+  if (job.state == JobState::kCompleting || job.state == JobState::kCancelling)
+    return unavailable("its end is being written");
+  if (job.state == JobState::kOver) return final_state_answer(job.spec.id, job.final_state);
+  std::uint32_t running_tasks = 0;
+  for (const auto& [index, run] : job.runs)
+    if (run.phase == protocol::TaskPhase::kRunning && run.seen) ++running_tasks;
+  const char* state = running_tasks > 0 ? n::kStateRunning : n::kStateQueued;
+  return {200, 0, protocol::job_poll_json(job.spec.id, state, job.done_count, running_tasks), std::nullopt};
+}
+
+UserAnswer lookup_answer(JobId id, const JobLookup::Known& known, double now, const UserAnswer& if_never) {
+  switch (known.what) {
+    case JobLookup::Known::What::kLive: {
+      const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, now);
+      if (!job) return unavailable("the record can't be read");
+      return {200, 0, protocol::job_poll_json(id, n::kStateQueued, job->done_count, 0), std::nullopt};
+    }
+    case JobLookup::Known::What::kFinal:
+      return final_state_answer(id, known.state);
+    case JobLookup::Known::What::kNever:
+      return if_never;
+    case JobLookup::Known::What::kUnknown:
+      break;
+  }
+  return unavailable("the state service does not answer");
+}
+
+}  // namespace robinford::coordination
