--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -1,8 +1,10 @@
-// What the parts of one controller share: in-memory state, clients, the present moment and the actions of
-// this step.
+/// @file
+/// What the parts of one controller share.
 #pragma once
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <random>
@@ -24,11 +26,15 @@
 
 namespace robinford::coordination {
 
+/// In-memory state, the clients of the services, the present moment and the actions of the present step. The
+/// controller owns it and sets `now` at the start of each step; its parts hold references and outlive none of
+/// it. Neither copied nor moved, since its members refer to one another.
 struct ControllerContext {
-  ControllerContext(const protocol::Settings& s, const protocol::Policy& p, std::uint64_t own_incarnation,
-                    std::uint64_t seed)
-      : settings(s),
-        policy(p),
+  /// `own_incarnation` names this process among all of its member; `seed` is that of `random`.
+  ControllerContext(const protocol::Settings& site_settings, const protocol::Policy& site_policy,
+                    std::uint64_t own_incarnation, std::uint64_t seed)
+      : settings(site_settings),
+        policy(site_policy),
         incarnation(own_incarnation),
         random(seed),
         calls(out),
@@ -36,13 +42,15 @@
         writer(settings, state, random),
         quota(settings),
         cancellations(settings) {}
+  ControllerContext(const ControllerContext&) = delete;
+  ControllerContext& operator=(const ControllerContext&) = delete;
 
   const protocol::Settings settings;
   const protocol::Policy policy;
   const std::uint64_t incarnation;
-  std::mt19937_64 random;
-  protocol::ClockReading now;
-  protocol::Outbox out;
+  std::mt19937_64 random;      ///< the only source of random numbers: runs with equal seeds are equal
+  protocol::ClockReading now;  ///< of the present step
+  protocol::Outbox out;        ///< actions since the caller last took them
   bookkeeping::CallTable calls;
   bookkeeping::StateClient state;
   bookkeeping::TxnWriter writer;
@@ -52,24 +60,33 @@
   Cancellations cancellations;
   BootTimes boots;
   Metrics metrics;
-  // Told when a job's final state is durable.
+  /// Called when a job's final state is durable.
   std::function<void(protocol::JobId, bookkeeping::FinalState)> job_over;
-  std::map<std::string, protocol::MachineType> types;  // the catalog; empty: not known yet
+  /// The machine types by name; empty while they are not known.
+  std::map<std::string, protocol::MachineType> types;
 
-  // Bounds of queues and caches follow from the memory that the settings grant.
-  std::size_t per_memory(double entries_a_mb) const {
-    return static_cast<std::size_t>(std::max(16.0, settings.memory_mb * entries_a_mb));
+  /// The bound of a queue or cache that grows with the memory that the settings grant.
+  std::size_t per_memory(double entries_per_mb) const {
+    return static_cast<std::size_t>(std::max(kBoundLeast, settings.memory_mb * entries_per_mb));
   }
-  // ...and of what is kept a machine, never fewer than of the largest fleet that is served.
-  std::size_t per_machine(double entries_a_mb) const {
-    return std::max(constants::kMachinesLeast, per_memory(entries_a_mb));
+  /// The same of one with an entry for each machine: never less than the largest fleet that is served.
+  std::size_t per_machine(double entries_per_mb) const {
+    return std::max(constants::kMachinesLeast, per_memory(entries_per_mb));
   }
-  double draw(double below) { return std::uniform_real_distribution<double>(0, below)(random); }
+  /// A random number of [0, limit), evenly distributed.
+  double draw(double limit) { return std::uniform_real_distribution<double>(0, limit)(random); }
+  /// The team's weight beside other teams: by the operators' policy, else by its guaranteed resources.
   double share_of(const std::string& team) const {
     if (const auto found = policy.shares.find(team); found != policy.shares.end()) return found->second;
     const auto* known = settings.team(team);
-    return known != nullptr && known->cpus + known->gpus > 0 ? known->cpus + known->gpus : 1.0;
+    if (known == nullptr) return kDefaultShare;
+    const double guaranteed = known->cpus + known->gpus;
+    return guaranteed > 0 ? guaranteed : kDefaultShare;
   }
+
+ private:
+  static constexpr double kBoundLeast = 16;  // entries that any queue or cache may hold
+  static constexpr double kDefaultShare = 1.0;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/metrics.cpp
+++ b/src/coordination/metrics.cpp
@@ -1,47 +1,62 @@
+/// @file
+/// Implementation of Metrics.
 #include "coordination/metrics.hpp"
 
 #include <algorithm>
+#include <ostream>
 #include <sstream>
+#include <utility>
 
 #include "constants.hpp"
 
 namespace robinford::coordination {
-namespace bh = boost::histogram;
+namespace c = constants;
+namespace histogram = boost::histogram;
 
 namespace {
-constexpr std::pair<Metrics::Spread, const char*> kNames[] = {
-    {Metrics::Spread::kGangWait, "gang_wait_seconds"},
-    {Metrics::Spread::kArrayWait, "array_wait_seconds"},
-    {Metrics::Spread::kRound, "round_seconds"},
-    {Metrics::Spread::kFailover, "failover_seconds"},
-    {Metrics::Spread::kHeartbeatAnswer, "heartbeat_answer_seconds"},
-    {Metrics::Spread::kGrantWait, "grant_wait_seconds"}};
+
+/// A distribution's name on the page, where they stand in this order.
+struct SpreadName {
+  Metrics::Spread spread;
+  const char* name;
+};
+
+constexpr SpreadName kSpreadNames[] = {{Metrics::Spread::kGangWait, "gang_wait_seconds"},
+                                       {Metrics::Spread::kArrayWait, "array_wait_seconds"},
+                                       {Metrics::Spread::kRound, "round_seconds"},
+                                       {Metrics::Spread::kFailover, "failover_seconds"},
+                                       {Metrics::Spread::kHeartbeatAnswer, "heartbeat_answer_seconds"},
+                                       {Metrics::Spread::kGrantWait, "grant_wait_seconds"}};
+
+template <typename Histogram>
+void write_histogram(std::ostream& out, const char* name, const Histogram& values) {
+  double cumulative = 0;
+  for (auto&& bin : histogram::indexed(values, histogram::coverage::all)) {
+    if (*bin == 0) continue;
+    cumulative += *bin;
+    out << "robinford_" << name << "_bucket{le=\"" << bin.bin().upper() << "\"} " << cumulative << '\n';
+  }
+  out << "robinford_" << name << "_count " << cumulative << '\n';
+}
+
 }  // namespace
 
 Metrics::Metrics() {
-  for (const auto& [spread, name] : kNames)
-    spreads_.emplace(spread, bh::make_histogram(Axis(constants::kSpreadBuckets, constants::kSpreadLeastS,
-                                                     constants::kSpreadMostS)));
+  const Axis axis(c::kSpreadBuckets, c::kSpreadLeastS, c::kSpreadMostS);
+  for (const auto& [spread, name] : kSpreadNames)
+    histograms_.emplace(spread, histogram::make_histogram(axis));
 }
 
+// A logarithmic axis has no place for zero.
 void Metrics::record(Spread spread, double seconds) {
-  spreads_.at(spread)(std::max(seconds, constants::kSpreadLeastS));
+  histograms_.at(spread)(std::max(seconds, c::kSpreadLeastS));
 }
 
 std::string Metrics::page() const {
   std::ostringstream out;
   for (const auto& [name, value] : counters_) out << "robinford_" << name << "_total " << value << '\n';
   for (const auto& [name, value] : gauges_) out << "robinford_" << name << ' ' << value << '\n';
-  for (const auto& [spread, name] : kNames) {
-    const auto& histogram = spreads_.at(spread);
-    double sum = 0;
-    for (auto&& bin : bh::indexed(histogram, bh::coverage::all)) {
-      if (*bin == 0) continue;
-      sum += *bin;
-      out << "robinford_" << name << "_bucket{le=\"" << bin.bin().upper() << "\"} " << sum << '\n';
-    }
-    out << "robinford_" << name << "_count " << sum << '\n';
-  }
+  for (const auto& [spread, name] : kSpreadNames) write_histogram(out, name, histograms_.at(spread));
   return out.str();
 }
 
--- a/src/coordination/routing/cancellations.hpp
+++ b/src/coordination/routing/cancellations.hpp
@@ -1,93 +1,115 @@
-// What users were told of cancellations, and how far this controller surely knows of all that anybody told.
-// It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
+/// @file
+/// Which cancellations were announced to users, and how far this controller surely knows of all that anybody
+/// announced. It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <optional>
 #include <string>
-#include <vector>
 
+#include "coordination/routing/announcement_log.hpp"
 #include "protocol/peer_codec.hpp"
 #include "protocol/settings.hpp"
 
 namespace robinford::coordination {
 
+/// Owns the announcements of this process, and for each other member what is known of the announcements of
+/// both sides. All moments are seconds of the steady clock.
+///
+/// Invariant: every cancellation that any controller announced before `known_up_to` is known to this one. Two
+/// proofs advance that moment: a read of the change log followed by a renewal of the leader key, and a probe
+/// that every member echoed with all of its announcements delivered.
 class Cancellations {
  public:
   explicit Cancellations(const protocol::Settings& settings);
 
-  // ---- what this controller told ----
-  // A user is about to hear that the job is cancelled. True: for the first time from this process.
+  // ---- announcements of this controller ----
+  /// A user is about to be told that the job is cancelled. True: for the first time by this process, so the
+  /// other controllers have to be told too.
   bool announce(protocol::JobId id);
-  std::uint64_t announced() const { return first_kept_ + log_.size() - 1; }
-  // No other controller can still answer from in-memory state that lack it: each has acknowledged it, or was
-  // last vouched for so long ago that its in-memory state is not current.
+  /// How many cancellations this process has announced.
+  std::uint64_t announced() const { return log_.last_number(); }
+  /// No other controller can still answer from in-memory state that lacks it: each has acknowledged it, or
+  /// was last vouched for so long ago that its in-memory state is not current.
   bool acknowledged_by_all(protocol::JobId id, double now);
-  // What `member` has not acknowledged, as a message; nothing when there is nothing.
+  /// What `member` has not acknowledged, as a message; nothing when there is nothing.
   std::optional<protocol::PeerMessage> unacknowledged(const std::string& member) const;
-  // The part of a status to `member` that proves what it knows, and asks the same of it.
+  /// Adds to a status to `member` the part that proves what this controller knows, and a probe of `member`.
   void sign(const std::string& member, double now, protocol::PeerMessage& status);
 
-  // ---- what others told ----
-  // The jobs that the message names, in any order.
+  // ---- announcements of others ----
+  /// A message of kind kCancellationsAnnounced; the caller has applied the cancellations that it names.
   void take_announced(const protocol::PeerMessage& message);
+  /// The signed part of a status.
   void take_status(const protocol::PeerMessage& status, std::uint64_t own_incarnation);
 
-  // ---- what the state service shows ----
-  void elected();  // nothing is known yet
-  void ended();    // not the leader any more
-  // The change log was requested, and read in full; `renewed`: when the last answered renewal was sent.
+  // ---- proofs by the state service ----
+  /// This controller leads from now on; nothing is known yet.
+  void elected();
+  /// It does not lead any more.
+  void ended();
+  /// A read of the whole change log begins.
   void change_log_requested(double now);
+  /// That read is complete; `renewed` is when the last answered renewal of the leader key was sent.
   void change_log_read(double renewed);
+  /// A renewal of the leader key that was sent at `sent` is answered.
   void renewed(double sent);
-  // Steady moment up to which every cancellation that anybody told is surely known here.
+
+  /// The moment up to which every announced cancellation is surely known here.
   double known_up_to(double now) const;
-  // The same, by the state service alone.
+  /// The same, by the change log alone.
   double read_up_to() const { return read_at_; }
-
-  // The in-memory state may speak for all controllers: each was in touch so lately that it tells nothing that
-  // is missing here.
+  /// The in-memory state may speak for all controllers: each was in touch so lately that it has announced
+  /// nothing that is missing here.
   bool current(double now) const;
 
   // ---- the bound that follows ----
-  // Seconds after `known_up_to` for which a heartbeat may be answered.
+  /// Seconds after `known_up_to` for which a heartbeat may be answered.
   double answer_s() const { return answer_s_; }
-  // Too little time is left between a lease and a cancellation to let the in-memory state lag at all: then
-  // nobody but the leader tells, and only once no former leader can be answering heartbeats.
+  /// Too little time is left between a lease and a cancellation to let the in-memory state lag at all: then
+  /// only the leader announces, and only once no former leader can be answering heartbeats.
   bool strict() const { return strict_; }
 
  private:
+  static constexpr double kNever = -1e9;
+  /// What is known of another member, by its present process unless said otherwise.
   struct Peer {
     std::uint64_t incarnation = 0;
-    std::uint64_t count = 0;         // what it has told, by its own word
-    std::uint64_t taken = 0;         // up to here all is known
-    bool whole = false;              // ...of all its processes: the chain has no gap
-    double known_at = -1e9;          // up to here in time
-    std::uint64_t probe = 0;         // its last one, to be echoed
-    double echoed_at = -1e9;         // when it was vouched to last that all we told is known
-    std::uint64_t acknowledged = 0;  // of what we told
+    std::uint64_t announced = 0;     ///< how many cancellations it says that it has announced
+    std::uint64_t known = 0;         ///< up to this number they are known here
+    bool without_gap = false;        ///< ...and all that its earlier processes announced, too
+    double known_at = kNever;        ///< up to this moment all its announcements are known here
+    std::uint64_t probe = 0;         ///< its last probe, to be echoed
+    double vouched_at = kNever;      ///< when it was last vouched that all announcements here are known to it
+    std::uint64_t acknowledged = 0;  ///< up to this number it knows the announcements of this process
+  };
+  /// The announcements of one process, when a read of the change log began.
+  struct AnnouncedCount {
+    std::uint64_t incarnation = 0;
+    std::uint64_t count = 0;
   };
+  struct Snapshot {
+    double at = 0;
+    std::map<std::string, AnnouncedCount> counts;  ///< by member
+  };
+
+  void note_start(double now);
   Peer& peer_of(const protocol::PeerMessage& message);
-  bool late(const protocol::PeerMessage& message) const;
+  bool is_late(const protocol::PeerMessage& message) const;
+  void advance_state_proof(double renewed);
 
   double clock_error_s_ = 0;
-  double started_ = -1;  // an earlier process may have vouched until then
   double answer_s_ = 0;
   bool strict_ = false;
   bool leading_ = false;
-  std::deque<protocol::JobId> log_;                  // in the order told
-  std::map<protocol::JobId, std::uint64_t> in_log_;  // and their numbers
-  std::uint64_t first_kept_ = 1;                     // number of the first entry of the log
+  std::optional<double> started_at_;  ///< an earlier process may have vouched until then
+  AnnouncementLog log_;
   std::map<std::string, Peer> peers_;
-  double read_at_ = -1e9, state_known_ = -1e9;
-  struct Snapshot {
-    double at = 0;
-    std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-        counts;  // incarnation and count, by member
-  };
-  std::optional<Snapshot> requested_, read_;
+  double read_at_ = kNever;              ///< when the last complete read of the change log began
+  double state_proof_ = kNever;          ///< the moment that the state service proves
+  std::optional<Snapshot> reading_;      ///< of the read of the change log that is open
+  std::optional<Snapshot> unconfirmed_;  ///< of a complete read that waits for a later renewal
 };
 
 }  // namespace robinford::coordination
