--- a/src/bookkeeping/calls.hpp
+++ b/src/bookkeeping/calls.hpp
@@ -1,6 +1,9 @@
-// Calls that wait for an answer, whichever service they went to.
+/// @file
+/// Calls that wait for an answer, whichever service they went to.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <unordered_map>
@@ -10,18 +13,24 @@
 
 namespace robinford::bookkeeping {
 
+/// Takes the answer of a call. Status 0: none came in time, and the call may have been carried out.
 using Answered = std::function<void(const protocol::CallResult&)>;
 
+/// Numbers calls, puts them into the outbox, and brings each answer to whoever waits for it.
+///
+/// Each callback is called once at most, by on_result() and never by send(). It may send further calls.
 class CallTable {
  public:
   explicit CallTable(protocol::Outbox& out) : out_(out) {}
 
+  /// Adds the call to the outbox under a number of its own, whatever its `id` was.
   void send(protocol::Call call, Answered answered) {
-    call.id = next_++;
+    call.id = next_id_++;
     waiting_.emplace(call.id, std::move(answered));
     out_.calls.push_back(std::move(call));
   }
 
+  /// The answer to a call, or its timeout. One to an unknown or answered call is dropped.
   void on_result(std::uint64_t id, const protocol::CallResult& result) {
     const auto found = waiting_.find(id);
     if (found == waiting_.end()) return;
@@ -30,12 +39,13 @@
     answered(result);
   }
 
+  /// Calls without an answer so far.
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   protocol::Outbox& out_;
   std::unordered_map<std::uint64_t, Answered> waiting_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_id_ = 1;
 };
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/dependency_graph.cpp
+++ b/src/bookkeeping/dependency_graph.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Ends of dependencies, and the order from dependents to dependencies.
 #include "bookkeeping/dependency_graph.hpp"
 
 namespace robinford::bookkeeping {
--- a/src/bookkeeping/dependency_graph.hpp
+++ b/src/bookkeeping/dependency_graph.hpp
@@ -1,6 +1,5 @@
-// Which waiting jobs need which others. It knows the dependencies that are not known to be over, and derives
-// who becomes ready or is cancelled when one ends. No I/O: whoever owns it tells it of durable final states
-// only.
+/// @file
+/// Which waiting jobs need which others. Section "Dependencies" of docs/design.md.
 #pragma once
 
 #include <functional>
@@ -12,29 +11,35 @@
 
 namespace robinford::bookkeeping {
 
+/// The dependencies that are not known to be over, and who becomes ready or is cancelled when one ends.
+///
+/// It does no I/O. Its owner reports final states only once they are durable, so that what follows from them
+/// still holds after a failover. Invariant: both maps have the same pairs, and no empty sets.
 class DependencyGraph {
  public:
-  // What the end of a job means for the jobs that wait.
+  /// What the end of a job means for the jobs that wait.
   struct Outcome {
-    std::vector<JobId> ready;      // their last dependency is done
-    std::vector<JobId> cancelled;  // they need the job directly or through others
+    std::vector<JobId> ready;      ///< their last dependency is done
+    std::vector<JobId> cancelled;  ///< they need the job directly or through others
   };
 
   void clear();
-  // `dependent` waits for all of `dependencies`. Repeating the call changes nothing.
+  /// `dependent` waits for all of `dependencies`. Repeating the call changes nothing.
   void add(JobId dependent, const std::vector<JobId>& dependencies);
-  // The job waits no more, for whatever reason.
+  /// The job waits no more, for whatever reason.
   void remove(JobId dependent);
-  // The final state of a job is durable. Jobs named in the outcome have left the graph.
+  /// The final state of a job is durable. Jobs named in the outcome have left the graph.
   Outcome finished(JobId id, FinalState state);
 
+  /// Whether the job waits for any other.
   bool waits(JobId id) const { return dependencies_.contains(id); }
-  // Dependencies of a waiting job that are not known to be over.
+  /// Dependencies of a waiting job that are not known to be over; none for any other job.
   const std::set<JobId>& dependencies(JobId dependent) const;
-  // Every job that some other waits for.
+  /// Every job that some other waits for, with those that wait for it.
   const std::map<JobId, std::set<JobId>>& dependents() const { return dependents_; }
-  // Calls `visit(dependent, dependency)` for each pair; whatever depends on the dependent was visited before.
-  // One pass over the graph, without recursion.
+  /// Calls `visit(dependent, dependency)` for each pair; whatever depends on the dependent was visited
+  /// before. One pass over the graph, without recursion: chains may be long. Pairs on a ring are not visited.
+  /// `visit` must not change the graph.
   void visit_backwards(const std::function<void(JobId dependent, JobId dependency)>& visit) const;
 
  private:
--- a/src/bookkeeping/quota.cpp
+++ b/src/bookkeeping/quota.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Charges, refunds and limits of teams.
 #include "bookkeeping/quota.hpp"
 
 #include <algorithm>
@@ -6,6 +8,12 @@
 
 namespace robinford::bookkeeping {
 
+namespace {
+
+constexpr double kLeastShare = 1e-9;  // a share of zero must not divide
+
+}  // namespace
+
 std::map<std::string, Usage> QuotaAccounts::recount(JobLedger& jobs, MachineLedger& machines) const {
   std::map<std::string, Usage> used;
   const auto add = [&](const JobSpec& spec, std::size_t tasks) {
@@ -97,7 +105,7 @@
 
 double QuotaAccounts::share_used(const std::string& team, double share) const {
   const auto used = usage(team);
-  return (used.cpus + used.gpus) / std::max(share, 1e-9);
+  return (used.cpus + used.gpus) / std::max(share, kLeastShare);
 }
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -63,8 +63,8 @@
 ///
 /// A repeat does no harm, since the conditions of a unit that was carried out fail at the repeat; the
 /// settling read then tells whose change the key shows, by a random mark that each value carries. No two
-/// transactions on their way share a key, and units that share one are sent in their order of arrival within
-/// a class. Times are steady, in s.
+/// transactions on their way name the same key but the guard's, and units that share one are sent in their
+/// order of arrival within a class. Times are steady, in s.
 class TxnWriter {
  public:
   TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random);
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -25,7 +25,7 @@
 using bookkeeping::MachineLedger;
 using protocol::PeerKind;
 
-constexpr std::size_t kRoomyLimit = 16 * 1024;
+constexpr std::size_t kRoomyLimit = std::size_t{16} * 1024;
 constexpr std::size_t kTightLimit = 1920;
 constexpr std::uint64_t kTerm = 7;
 
