--- a/src/bookkeeping/dependency_graph.cpp
+++ b/src/bookkeeping/dependency_graph.cpp
@@ -66,7 +66,8 @@
   return outcome;
 }
 
-void DependencyGraph::visit_backwards(const std::function<void(JobId, JobId)>& visit) const {
+std::vector<DependencyGraph::Dependency> DependencyGraph::dependents_first() const {
+  std::vector<Dependency> pairs;
   std::map<JobId, std::size_t> unvisited;  // dependents of a waiting job that have not been visited
   std::vector<JobId> open;
   for (const auto& [id, dependencies] : dependencies_) {
@@ -80,11 +81,12 @@
     const JobId dependent = open.back();
     open.pop_back();
     for (const auto id : dependencies_.at(dependent)) {
-      visit(dependent, id);
+      pairs.push_back({dependent, id});
       const auto left = unvisited.find(id);
       if (left != unvisited.end() && --left->second == 0) open.push_back(id);
     }
   }
+  return pairs;
 }
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/dependency_graph.hpp
+++ b/src/bookkeeping/dependency_graph.hpp
@@ -2,7 +2,6 @@
 /// Which waiting jobs need which others. Section "Dependencies" of docs/design.md.
 #pragma once
 
-#include <functional>
 #include <map>
 #include <set>
 #include <vector>
@@ -17,6 +16,12 @@
 /// still holds after a failover. Invariant: both maps have the same pairs, and no empty sets.
 class DependencyGraph {
  public:
+  /// `dependent` waits for `dependency`.
+  struct Dependency {
+    JobId dependent = 0;
+    JobId dependency = 0;
+  };
+
   /// What the end of a job means for the jobs that wait.
   struct Outcome {
     std::vector<JobId> ready;      ///< their last dependency is done
@@ -37,10 +42,9 @@
   const std::set<JobId>& dependencies(JobId dependent) const;
   /// Every job that some other waits for, with those that wait for it.
   const std::map<JobId, std::set<JobId>>& dependents() const { return dependents_; }
-  /// Calls `visit(dependent, dependency)` for each pair; whatever depends on the dependent was visited
-  /// before. One pass over the graph, without recursion: chains may be long. Pairs on a ring are not visited.
-  /// `visit` must not change the graph.
-  void visit_backwards(const std::function<void(JobId dependent, JobId dependency)>& visit) const;
+  /// Every pair, ordered so that whatever depends on a dependent comes before it. One pass over the graph,
+  /// without recursion, as chains may be long. Pairs on a ring, or behind one, are left out.
+  std::vector<Dependency> dependents_first() const;
 
  private:
   Outcome cancel_dependents(JobId id);
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -30,7 +30,7 @@
   kPlanned,   ///< chosen for the machine; the launch waits for a durable record or for the next answer
   kLaunched,  ///< the launch was sent, and no heartbeat has shown the outcome yet
   kPresent,   ///< a heartbeat showed it
-  kStopping,  ///< told to stop, and not gone yet
+  kStopping,  ///< a stop command was sent, and it is not gone yet
 };
 /// The state's name in log lines.
 const char* to_text(RunState state);
--- a/src/bookkeeping/job_record.hpp
+++ b/src/bookkeeping/job_record.hpp
@@ -3,7 +3,7 @@
 ///
 /// The live record says what the job is, when it was submitted and which tasks are done; the final record how
 /// it ended. Fields keep their names and order: versions before read and rewrite the same records during a
-/// rolling upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp holds them to that.
+/// rolling upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks that.
 #pragma once
 
 #include <boost/json.hpp>
--- a/src/bookkeeping/machine_record.hpp
+++ b/src/bookkeeping/machine_record.hpp
@@ -2,7 +2,7 @@
 /// Durable records of machines: encoding and decoding, without any state of their own.
 ///
 /// Fields keep their names and order, as earlier versions read and rewrite the same records during a rolling
-/// upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp holds them to that.
+/// upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks that.
 #pragma once
 
 #include <boost/json.hpp>
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -16,10 +16,6 @@
 
 namespace {
 
-constexpr int kNoAnswer = 0;
-constexpr int kMalformed = 400;
-constexpr int kThrottled = 429;
-constexpr int kUnavailable = 503;
 constexpr int kMsPerSecond = 1000;
 
 // Requests that must be covered before a read from the queue is sent: itself, and one that is left for what
@@ -48,8 +44,8 @@
 
 // The limits may be lower than the settings say. A refused call is not simply repeated at the same pace.
 void StateClient::learn_from(int status) {
-  if (status == kMalformed) ++rejected_;
-  if (status != kThrottled) return;
+  if (status == state_status::kMalformed) ++rejected_;
+  if (status != state_status::kThrottled) return;
   ++throttled_;
   if (now_ - pace_changed_at_ < constants::kPaceEveryS) return;
   pace_changed_at_ = now_;
@@ -74,7 +70,7 @@
   writes_.refill(now);
   recover_pace();
   const auto refused = std::exchange(refused_, {});
-  for (const auto& answered : refused) answered({kThrottled, ""});
+  for (const auto& answered : refused) answered({state_status::kThrottled, ""});
   while (!first_.empty() && requests_.covers(1) && writes_.covers(first_.front().writes)) send_front(first_);
   send_queued();
 }
@@ -91,7 +87,7 @@
     if (now_ - queue_.front().since > constants::kStateTimeoutS) {
       const auto answered = std::move(queue_.front().answered);
       queue_.pop_front();
-      answered({kThrottled, ""});
+      answered({state_status::kThrottled, ""});
       continue;
     }
     if (!first_.empty() || !requests_.covers(kRequestsForQueued) || !writes_.covers(queue_.front().writes))
@@ -104,7 +100,8 @@
   requests_.take(1);
   writes_.take(writes);
   calls_.send(std::move(call), [this, answered = std::move(answered)](const CallResult& result) {
-    if (result.status != kNoAnswer && result.status != kUnavailable) last_answer_ = now_;
+    if (result.status != state_status::kNoAnswer && result.status != state_status::kUnavailable)
+      last_answer_ = now_;
     learn_from(result.status);
     answered(result);
   });
--- a/src/bookkeeping/state_replies.cpp
+++ b/src/bookkeeping/state_replies.cpp
@@ -14,10 +14,6 @@
 
 namespace {
 
-constexpr int kOk = 200;
-constexpr int kNotFound = 404;
-constexpr int kGone = 410;
-
 std::uint64_t number(const json::object& object, const char* key) {
   const auto* value = object.if_contains(key);
   if (value == nullptr) return 0;
@@ -61,11 +57,11 @@
 StateRead parse_read(const CallResult& result) {
   StateRead read;
   const auto object = parse_object(result);
-  if (result.status == kOk && object) {
+  if (result.status == state_status::kOk && object) {
     read.found = StateRead::Found::kYes;
     read.mod_revision = number(*object, n::kModRevision);
     read.value = value_field(*object);
-  } else if (result.status == kNotFound) {
+  } else if (result.status == state_status::kNotFound) {
     read.found = StateRead::Found::kNo;
     if (object) read.revision = number(*object, n::kRevision);
   }
@@ -74,7 +70,7 @@
 
 std::optional<StatePage> parse_page(const CallResult& result) {
   const auto object = parse_object(result);
-  if (result.status != kOk || !object) return std::nullopt;
+  if (result.status != state_status::kOk || !object) return std::nullopt;
   StatePage page;
   page.revision = number(*object, n::kRevision);
   const auto* more = object->if_contains(n::kMore);
@@ -91,9 +87,9 @@
 
 WatchResult parse_watch(const CallResult& result) {
   WatchResult watch;
-  if (result.status == kGone) watch.outcome = WatchResult::Outcome::kTooOld;
+  if (result.status == state_status::kTooOld) watch.outcome = WatchResult::Outcome::kTooOld;
   const auto object = parse_object(result);
-  if (result.status != kOk || !object) return watch;
+  if (result.status != state_status::kOk || !object) return watch;
   watch.outcome = WatchResult::Outcome::kEvents;
   watch.revision = number(*object, n::kRevision);
   if (const auto* events = list_field(*object, n::kEvents)) {
--- a/src/bookkeeping/state_replies.hpp
+++ b/src/bookkeeping/state_replies.hpp
@@ -15,6 +15,18 @@
 
 namespace robinford::bookkeeping {
 
+/// Statuses of the state service's answers.
+namespace state_status {
+inline constexpr int kNoAnswer = 0;  ///< lost or late: the call may have been, or may yet be, carried out
+inline constexpr int kOk = 200;
+inline constexpr int kMalformed = 400;        ///< never carried out, however often it is repeated
+inline constexpr int kNotFound = 404;         ///< there is no such key
+inline constexpr int kConditionFailed = 409;  ///< of a transaction: nothing of it was carried out
+inline constexpr int kTooOld = 410;           ///< of a watch: the changes are not kept any more
+inline constexpr int kThrottled = 429;        ///< over the limits, not carried out
+inline constexpr int kUnavailable = 503;      ///< not carried out
+}  // namespace state_status
+
 /// A key with its value, as a list shows it.
 struct StateItem {
   std::string key;
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -22,12 +22,6 @@
 constexpr std::size_t kKeysInOp = 2;      // the condition names the key, and the change
 constexpr std::size_t kTidyFraction = 4;  // of the queue, what only tidies up may fill one part in so many
 
-constexpr int kOk = 200;
-constexpr int kBadRequest = 400;
-constexpr int kConditionFailedStatus = 409;
-constexpr int kThrottled = 429;
-constexpr int kUnavailable = 503;
-
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
   json::error_code error;
@@ -202,10 +196,11 @@
 }
 
 TxnWriter::TxnAnswer TxnWriter::classify(int status, const json::object* body) {
-  if (status == kOk && body != nullptr) return TxnAnswer::kCarriedOut;
-  if (status == kConditionFailedStatus && body != nullptr) return TxnAnswer::kConditionFailed;
-  if (status == kBadRequest) return TxnAnswer::kMalformed;
-  if (status == kThrottled || status == kUnavailable) return TxnAnswer::kNotCarriedOut;
+  if (status == state_status::kOk && body != nullptr) return TxnAnswer::kCarriedOut;
+  if (status == state_status::kConditionFailed && body != nullptr) return TxnAnswer::kConditionFailed;
+  if (status == state_status::kMalformed) return TxnAnswer::kMalformed;
+  if (status == state_status::kThrottled || status == state_status::kUnavailable)
+    return TxnAnswer::kNotCarriedOut;
   return TxnAnswer::kOpen;
 }
 
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -117,14 +117,14 @@
     job->inherited_priority = Priority::kLow;
     job->inherited_due_ms = std::numeric_limits<double>::infinity();
   }
-  graph_.visit_backwards([&](JobId dependent, JobId dependency) {
+  for (const auto& [dependent, dependency] : graph_.dependents_first()) {
     const Job* later = context_.jobs.find(dependent);
     Job* earlier = context_.jobs.find(dependency);
-    if (later == nullptr || earlier == nullptr) return;
+    if (later == nullptr || earlier == nullptr) continue;
     earlier->inherited_priority = std::max(earlier->inherited_priority, later->priority());
     const double due_ms = std::min(later->due_ms(), later->inherited_due_ms);
     earlier->inherited_due_ms = std::min(earlier->inherited_due_ms, due_ms - duration_s(*later) * 1000);
-  });
+  }
 }
 
 }  // namespace robinford::coordination
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -43,12 +43,12 @@
   for (JobId id = 2; id <= kLength; ++id) chain.add(id, {id - 1});
   std::size_t pairs = 0;
   JobId last = kLength + 1;
-  chain.visit_backwards([&](JobId dependent, JobId dependency) {
+  for (const auto& [dependent, dependency] : chain.dependents_first()) {
     EXPECT_EQ(dependent, last - 1);
     EXPECT_EQ(dependency, dependent - 1);
     last = dependent;
     ++pairs;
-  });
+  }
   EXPECT_EQ(pairs, kLength - 1);
   EXPECT_EQ(chain.finished(1, FinalState::kCancelled).cancelled.size(), kLength - 1);
   DependencyGraph fan;
@@ -60,7 +60,7 @@
   DependencyGraph graph;
   graph.add(1, {2});
   graph.add(2, {1});
-  graph.visit_backwards([](JobId, JobId) { ADD_FAILURE() << "nothing on a ring is settled"; });
+  EXPECT_TRUE(graph.dependents_first().empty()) << "nothing on a ring is settled";
   EXPECT_EQ(sorted(graph.finished(1, FinalState::kCancelled).cancelled), (std::vector<JobId>{1, 2}));
 }
 
