--- a/src/bookkeeping/calls.hpp
+++ b/src/bookkeeping/calls.hpp
@@ -2,7 +2,6 @@
 /// Calls that wait for an answer, whichever service they went to.
 #pragma once
 
-#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string>
@@ -39,9 +38,6 @@
     answered(result);
   }
 
-  /// Calls without an answer so far.
-  std::size_t waiting() const { return waiting_.size(); }
-
  private:
   protocol::Outbox& out_;
   std::unordered_map<std::uint64_t, Answered> waiting_;
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -51,7 +51,6 @@
   /// number, each of which stays until all that it names are named by others. `term`: of the leader that
   /// names new records, so that two leaders never choose the same name.
   void lay_out_by_size(std::size_t limit, std::uint64_t term);
-  RecordLayout layout() const { return layout_; }
   /// Chooses records for machines that have none.
   void assign_records();
   /// The record of the group was written, and names the machine.
--- a/src/bookkeeping/state_replies.cpp
+++ b/src/bookkeeping/state_replies.cpp
@@ -63,7 +63,6 @@
     read.value = value_field(*object);
   } else if (result.status == state_status::kNotFound) {
     read.found = StateRead::Found::kNo;
-    if (object) read.revision = number(*object, n::kRevision);
   }
   return read;
 }
--- a/src/bookkeeping/state_replies.hpp
+++ b/src/bookkeeping/state_replies.hpp
@@ -50,7 +50,6 @@
   };
   Found found = Found::kUnknown;
   std::uint64_t mod_revision = 0;  ///< of the key, when found
-  std::uint64_t revision = 0;      ///< of the service, when there is no such key
   boost::json::value value;
 };
 
