--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -212,7 +212,7 @@
     if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
   }
   confirm_reservations(machine);
-  check_cancelled_work_gone(machine);
+  cancelled_work_.update(machine);
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -1,4 +1,5 @@
-// Durable records of jobs, and how a job ends.
+/// @file
+/// Scheduler: durable records of jobs, and how a job ends.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -15,6 +16,7 @@
 using bookkeeping::JobState;
 using bookkeeping::Machine;
 using bookkeeping::RunState;
+using bookkeeping::StateRead;
 using bookkeeping::WriteClass;
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
@@ -112,68 +114,79 @@
 
 void Scheduler::read_job(JobId id) {
   // A read that is open may have been answered before the write that this call is about: then once more after
-  // it. A cancellation told of while the read of the admission was open was overlooked so, and its job went
-  // on as pending.
+  // it. Otherwise a cancellation that was announced while the read of the admission was open would be
+  // overlooked, and its job would go on as pending.
   if (const auto open = reading_.find(id); open != reading_.end()) {
-    open->second = true;
+    open->second = OpenRead::kReadAgain;
     return;
   }
-  reading_.emplace(id, false);
-  context_.state.read(
-      JobLedger::live_key(id), [this, id, generation = generation_](const bookkeeping::StateRead& read) {
-        if (generation != generation_) return;
-        const bool again = reading_.at(id);
-        reading_.erase(id);
-        if (again) return read_job(id);
-        if (read.found == bookkeeping::StateRead::Found::kUnknown) {
-          reread_.insert(id);  // not at once: an outage may be the reason
-          return;
-        }
-        Job* job = context_.jobs.find(id);
-        if (read.found == bookkeeping::StateRead::Found::kYes) {
-          const bool cancelled = JobLedger::is_cancelled(read.value);
-          if (job != nullptr) {
-            if (read.mod_revision < job->mod_revision) return;  // answered before what we know of
-            job->mod_revision = read.mod_revision;
-            job->marked = cancelled;
-            if (cancelled) {
-              job->cancelled_on_record = true;
-              job_over(*job, FinalState::kCancelled);
-            } else if (job->over() && job->final_state == FinalState::kCancelled) {
-              // Cancelled through a dependency: only that one's record says so.
-              job->cancelled_on_record = job->state != JobState::kOver;
-            }
-            push_final(*job);
-            return;
-          }
-          auto fresh = JobLedger::from_record(read.value, read.mod_revision, context_.now.steady);
-          if (!fresh || (context_.jobs.final_state(id) && !fresh->over())) return;
-          auto& slot = context_.jobs.all()[id];
-          slot = std::move(fresh);
-          if (slot->state == JobState::kOver) {
-            // Cancelled before anything of it was placed.
-            context_.jobs.remember_final(id, slot->final_state);
-            return;
-          }
-          job_added(*slot);
-          return;
-        }
-        if (job == nullptr) return;
-        context_.state.read(JobLedger::final_key(id),
-                            [this, id, generation](const bookkeeping::StateRead& final) {
-                              if (generation != generation_) return;
-                              Job* job = context_.jobs.find(id);
-                              if (job == nullptr) return;
-                              if (final.found != bookkeeping::StateRead::Found::kYes) {
-                                reread_.insert(id);
-                                return;
-                              }
-                              if (const auto state = JobLedger::final_from_record(final.value)) {
-                                job->cancelled_on_record = true;
-                                job_over(*job, *state);
-                              }
-                            });
-      });
+  reading_.emplace(id, OpenRead::kOnce);
+  context_.state.read(JobLedger::live_key(id), [this, id, generation = generation_](const StateRead& read) {
+    if (generation == generation_) live_record_read(id, read);
+  });
+}
+
+void Scheduler::live_record_read(JobId id, const StateRead& read) {
+  const OpenRead kind = reading_.at(id);
+  reading_.erase(id);
+  if (kind == OpenRead::kReadAgain) return read_job(id);
+  if (read.found == StateRead::Found::kUnknown) {
+    reread_.insert(id);  // not at once: an outage may be the reason
+    return;
+  }
+  Job* job = context_.jobs.find(id);
+  if (read.found != StateRead::Found::kYes) {
+    if (job != nullptr) read_final_record(id);
+  } else if (job != nullptr) {
+    update_from_record(*job, read);
+  } else {
+    add_from_record(id, read);
+  }
+}
+
+// The live record of a job that is in the ledger.
+void Scheduler::update_from_record(Job& job, const StateRead& read) {
+  if (read.mod_revision < job.mod_revision) return;  // answered before what we know of
+  const bool cancelled = JobLedger::is_cancelled(read.value);
+  job.mod_revision = read.mod_revision;
+  job.marked = cancelled;
+  if (cancelled) {
+    job.cancelled_on_record = true;
+    job_over(job, FinalState::kCancelled);
+  } else if (job.over() && job.final_state == FinalState::kCancelled) {
+    // Cancelled through a dependency: only that one's record says so.
+    job.cancelled_on_record = job.state != JobState::kOver;
+  }
+  push_final(job);
+}
+
+// The live record of a job that another controller admitted.
+void Scheduler::add_from_record(JobId id, const StateRead& read) {
+  auto fresh = JobLedger::from_record(read.value, read.mod_revision, context_.now.steady);
+  if (!fresh || (context_.jobs.final_state(id) && !fresh->over())) return;
+  auto& job = context_.jobs.all()[id];
+  job = std::move(fresh);
+  if (job->state == JobState::kOver)
+    context_.jobs.remember_final(id, job->final_state);  // cancelled before anything of it was placed
+  else
+    job_added(*job);
+}
+
+// The job has no live record any more, so it should have a final one.
+void Scheduler::read_final_record(JobId id) {
+  context_.state.read(JobLedger::final_key(id), [this, id, generation = generation_](const StateRead& read) {
+    if (generation != generation_) return;
+    Job* job = context_.jobs.find(id);
+    if (job == nullptr) return;
+    if (read.found != StateRead::Found::kYes) {
+      reread_.insert(id);
+      return;
+    }
+    const auto state = JobLedger::final_from_record(read.value);
+    if (!state) return;
+    job->cancelled_on_record = true;
+    job_over(*job, *state);
+  });
 }
 
 void Scheduler::job_over(Job& job, FinalState state) {
@@ -200,7 +213,8 @@
   for (const auto index : indices) {
     if (const auto& run = job.runs.at(index);
         state == FinalState::kCancelled && run.state != RunState::kPlanned)
-      if (Machine* machine = context_.machines.find(run.machine)) expect_cancelled_work_gone(*machine, job);
+      if (Machine* machine = context_.machines.find(run.machine))
+        cancelled_work_.expect_gone(*machine, job, began_);
     stop_run(job, index, 0);
   }
   send_stops();
@@ -271,11 +285,7 @@
 
 // Whether a machine shows tasks of the job, or may still hold some.
 bool Scheduler::has_remaining_tasks(JobId id) {
-  return placements_.unknown_task_shown(id) ||
-         std::any_of(overdue_.begin(), overdue_.end(), [&](const std::string& name) {
-           const Machine* machine = context_.machines.find(name);
-           return machine != nullptr && machine->overdue.contains(id);
-         });
+  return placements_.unknown_task_shown(id) || cancelled_work_.may_remain(id);
 }
 
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -1,4 +1,6 @@
-// Machines that fall unresponsive, and what their silence proves.
+/// @file
+/// Scheduler: machines that become unresponsive, and what their silence proves. docs/design.md, section "What
+/// was added", "Evidence" and "Unanswered machines".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -42,111 +44,94 @@
   const double since_s = last_answer_at(machine) - context_.now.steady;
   context_.machines.set_unanswered(machine, context_.now.wall_ms + static_cast<std::int64_t>(since_s * 1000));
 }
+
 bool Scheduler::give_up(const Machine& machine) const {
   if (machine.state != MachineState::kUnresponsive) return false;
   const double unresponsive_since = std::max(machine.last_heartbeat, began_);
   return context_.now.steady - unresponsive_since >
          std::max(c::kUnresponsiveMinS, c::kUnresponsiveHeartbeats * context_.settings.heartbeat_interval_s);
 }
-void Scheduler::watch_machines() {
-  const double now = context_.now.steady;
+// A machine whose heartbeats stopped becomes unresponsive, and gangs look for capacity elsewhere.
+void Scheduler::detect_silence(Machine& machine) {
   const double patience = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
-  for (auto& [name, machine] : context_.machines.all()) {
-    const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
-    if ((machine.state == MachineState::kUp || machine.state == MachineState::kBooting) && expected &&
-        now - std::max(machine.last_heartbeat, began_) > 2 * patience) {
-      MachineLedger::set_state(machine, MachineState::kUnresponsive);
-      requeue_reserving_gangs(machine);
-    }
-    const bool unproven_answers = machine.unreconciled && machine.probe_failures >= c::kProbesEnough;
-    if (phase_ == LeaderPhase::kServing && election_.valid() &&
-        (machine.state == MachineState::kUnresponsive || unproven_answers))
-      stop_answering(machine);
-    // A machine that hangs runs nothing, but what is on it is not gone before it moves again, or the cloud
-    // says so.
-    const bool late = std::any_of(machine.overdue.begin(), machine.overdue.end(),
-                                  [&](const auto& entry) { return now >= entry.second; });
-    if (late && machine.state != MachineState::kReturning && machine.state != MachineState::kGone) {
-      spdlog::info("machine {} is returned: no heartbeat shows that cancelled work is gone", name);
-      MachineLedger::set_state(machine, MachineState::kReturning);
-    }
-    // Launches sent straight to the machine that nobody answered: while its agent epoch lasts they may still
-    // be carried out, and neither silence nor a lease that is over ends that. Only the cloud's word does.
-    bool open_launch = false;
-    if (!machine.direct.empty() && machine.state != MachineState::kGone) {
-      for (const auto& id : machine.tasks) {
-        const Job* job = context_.jobs.find(id.job);
-        if (job == nullptr) continue;
-        const auto& run = job->runs.at(id.index);
-        if (!run.direct || run.seen) continue;
-        open_launch = true;
-        if (job->over() && now - run.launched_at > c::kUnansweredLaunchS &&
-            machine.state != MachineState::kReturning) {
-          spdlog::info("machine {} is returned: a launch of cancelled work may still reach it", name);
-          MachineLedger::set_state(machine, MachineState::kReturning);
-        }
-      }
-    }
-    if (machine.state == MachineState::kUnresponsive || machine.state == MachineState::kReturning) {
-      const bool has_work = !machine.tasks.empty() || machine.unreconciled || !machine.unknown_tasks.empty();
-      if (!has_work || now <= lease_over_at(machine) || machine.agent_reset) continue;
-      if (open_launch) {
-        MachineLedger::set_state(machine, MachineState::kReturning);
-        continue;
-      }
-      spdlog::info("machine {}: its lease has expired for certain", name);
-      lose_tasks(machine, "the lease of its machine is over");
-    }
+  const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
+  const bool present = machine.state == MachineState::kUp || machine.state == MachineState::kBooting;
+  const double silent_since = std::max(machine.last_heartbeat, began_);
+  if (!present || !expected || context_.now.steady - silent_since <= 2 * patience) return;
+  MachineLedger::set_state(machine, MachineState::kUnresponsive);
+  requeue_reserving_gangs(machine);
+}
+
+// A machine that hangs runs nothing, but what is on it is not gone before it moves again, or the cloud says
+// so.
+void Scheduler::return_if_cancelled_work_stays(Machine& machine) {
+  if (machine.state == MachineState::kReturning || machine.state == MachineState::kGone) return;
+  if (!cancelled_work_.late(machine)) return;
+  spdlog::info("machine {} is returned: no heartbeat shows that cancelled work is gone", machine.name);
+  MachineLedger::set_state(machine, MachineState::kReturning);
+}
+
+// Whether a direct launch is unanswered. While the machine's agent epoch lasts it may still be carried out,
+// and neither silence nor a lease that is over ends that: only the cloud's confirmation of the machine's
+// return does. Returns the machine when that could start cancelled work.
+bool Scheduler::watch_direct_launches(Machine& machine) {
+  if (machine.direct.empty() || machine.state == MachineState::kGone) return false;
+  bool any_open = false;
+  for (const auto& id : machine.tasks) {
+    const Job* job = context_.jobs.find(id.job);
+    if (job == nullptr) continue;
+    const auto& run = job->runs.at(id.index);
+    if (!run.direct || run.seen) continue;
+    any_open = true;
+    const bool overdue = context_.now.steady - run.launched_at > c::kUnansweredLaunchS;
+    if (!job->over() || !overdue || machine.state == MachineState::kReturning) continue;
+    spdlog::info("machine {} is returned: a launch of cancelled work may still reach it", machine.name);
+    MachineLedger::set_state(machine, MachineState::kReturning);
   }
+  return any_open;
 }
-void Scheduler::expect_cancelled_work_gone(Machine& machine, const Job& job) {
-  const double now = context_.now.steady, cancel_s = context_.settings.cancel_s;
-  const double lease = context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
-  const double patience =
-      std::max(c::kOverdueShare / 2 * cancel_s,
-               std::min(std::max(c::kOverdueShare * cancel_s, lease), cancel_s - c::kOverdueLeadS));
-  const double announced =
-      now - (job.cancelled_ms > 0 ? std::max(0.0, (context_.now.wall_ms - job.cancelled_ms) / 1000.0) : 0.0);
-  double limit = announced + patience;
-  // A new leader hears of old cancellations: each machine first gets the time of a round, or what is left of
-  // the time that the cancellation has. All of them were once given back in the moment when the ledger was
-  // read.
-  if (machine.unreconciled || machine.unanswered_since_ms) {
-    const double round =
-        began_ + 2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
-    const double last = announced + cancel_s - c::kOverdueLastS;
-    limit = std::max(limit, last > now ? std::min(round, last) : round);
+
+// What a silent machine may hold is lost when its lease has expired for certain, unless a direct launch could
+// still start work there.
+void Scheduler::settle_expired_lease(Machine& machine, bool has_open_launch) {
+  if (machine.state != MachineState::kUnresponsive && machine.state != MachineState::kReturning) return;
+  const bool has_work = !machine.tasks.empty() || machine.unreconciled || !machine.unknown_tasks.empty();
+  if (!has_work || context_.now.steady <= lease_over_at(machine) || machine.agent_reset) return;
+  if (has_open_launch) {
+    MachineLedger::set_state(machine, MachineState::kReturning);
+    return;
   }
-  machine.overdue.emplace(job.spec.id, limit);
-  overdue_.insert(machine.name);
+  spdlog::info("machine {}: its lease has expired for certain", machine.name);
+  lose_tasks(machine, "the lease of its machine is over");
 }
 
-// After a heartbeat: what of the cancelled work is still on the machine, or may come there?
-void Scheduler::check_cancelled_work_gone(Machine& machine) {
-  if (machine.overdue.empty()) return;
-  std::erase_if(machine.overdue, [&](const auto& entry) {
-    const auto of_it = [&](const auto& id) { return id.job == entry.first; };
-    return std::none_of(machine.tasks.begin(), machine.tasks.end(), of_it) &&
-           std::none_of(machine.unknown_tasks.begin(), machine.unknown_tasks.end(),
-                        [&](const auto& unknown_task) { return of_it(unknown_task.task); });
-  });
-  if (machine.overdue.empty()) overdue_.erase(machine.name);
+void Scheduler::watch_machines() {
+  for (auto& [name, machine] : context_.machines.all()) {
+    detect_silence(machine);
+    const bool probes_failed = machine.unreconciled && machine.probe_failures >= c::kProbesEnough;
+    if (phase_ == LeaderPhase::kServing && election_.valid() &&
+        (machine.state == MachineState::kUnresponsive || probes_failed))
+      stop_answering(machine);
+    return_if_cancelled_work_stays(machine);
+    const bool has_open_launch = watch_direct_launches(machine);
+    settle_expired_lease(machine, has_open_launch);
+  }
 }
 
 void Scheduler::machine_gone(Machine& machine) {
-  machine.overdue.clear();
-  overdue_.erase(machine.name);
+  cancelled_work_.forget(machine);
   lose_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
   // Only of machines that this leader has known all their life.
   if (machine.sent_heartbeat && machine.provisioned_at > 0 && machine.cpus > 0 &&
       machine.known_at - machine.provisioned_at < 1) {
-    const double lived = context_.now.steady - machine.provisioned_at, all = lived * machine.cpus / 100;
+    const double lived = context_.now.steady - machine.provisioned_at;
+    const double cpu_seconds_percent = lived * machine.cpus / 100;
     spdlog::info(
         "machine {} ({}{}) lived {:.0f} s: boot {:.0f} s, useful {:.0f}%, lost {:.0f}%, fetching {:.0f}%",
         machine.name, machine.type, machine.spot ? " spot" : "", lived,
-        machine.up_at - machine.provisioned_at, machine.useful / all, machine.lost / all,
-        machine.fetching / all);
+        machine.up_at - machine.provisioned_at, machine.useful / cpu_seconds_percent,
+        machine.lost / cpu_seconds_percent, machine.fetching / cpu_seconds_percent);
   }
   machine.direct.clear();
   context_.machines.touch(machine);
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -1,4 +1,6 @@
-// A new leader: reads the ledger, and waits for a full round of heartbeats before it places anything.
+/// @file
+/// Scheduler: a new leader reads the ledger, and waits for a full round of heartbeats before it places
+/// anything. docs/design.md, section "What was added", "Records" and "Questions".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -28,7 +30,7 @@
   waiting_gangs_.clear();
   reading_.clear();
   reread_.clear();
-  overdue_.clear();
+  cancelled_work_.clear();
   dependencies_.clear();
   loading_dependencies_ = false;
   queue_order_.clear();
@@ -180,7 +182,7 @@
     for (auto& [name, machine] : context_.machines.all())
       if ((machine.unreconciled || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
-        expect_cancelled_work_gone(machine, *job);
+        cancelled_work_.expect_gone(machine, *job, began_);
   }
   context_.cancellations.change_log_read(election_.last_renewed());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -51,7 +51,8 @@
       placements_(context),
       unreconciled_(context),
       direct_(context, election, actions_.direct),
-      machine_records_(context, election, versions) {}
+      machine_records_(context, election, versions),
+      cancelled_work_(context) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -14,6 +14,7 @@
 #include "coordination/controller_context.hpp"
 #include "coordination/election/election.hpp"
 #include "coordination/election/peer_versions.hpp"
+#include "coordination/leader/cancelled_work.hpp"
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
 #include "coordination/leader/direct_commands.hpp"
@@ -198,6 +199,10 @@
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
+  void live_record_read(protocol::JobId id, const bookkeeping::StateRead& read);
+  void update_from_record(bookkeeping::Job& job, const bookkeeping::StateRead& read);
+  void add_from_record(protocol::JobId id, const bookkeeping::StateRead& read);
+  void read_final_record(protocol::JobId id);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
@@ -206,9 +211,10 @@
   void push_final(bookkeeping::Job& job);
   void sweep_jobs();
   void watch_machines();
-  // Cancelled work may be on the machine: it has to prove in time that it is gone, or goes itself.
-  void expect_cancelled_work_gone(bookkeeping::Machine& machine, const bookkeeping::Job& job);
-  void check_cancelled_work_gone(bookkeeping::Machine& machine);
+  void detect_silence(bookkeeping::Machine& machine);
+  void return_if_cancelled_work_stays(bookkeeping::Machine& machine);
+  bool watch_direct_launches(bookkeeping::Machine& machine);
+  void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
   const char* why_waiting(const bookkeeping::Job& job) const;
   void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run, bool direct);
@@ -237,10 +243,11 @@
   UnreconciledMachines unreconciled_;
   DirectCommands direct_;
   MachineRecordWriter machine_records_;
-  std::set<std::string> overdue_;            // machines that may hold cancelled work
-  std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
-  std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
-  std::set<std::string> claimed_;            // machines kept for a gang in the present round
+  CancelledWork cancelled_work_;
+  std::set<protocol::JobId> reread_;  // a read of theirs went unanswered
+  enum class OpenRead : std::uint8_t { kOnce, kReadAgain };
+  std::map<protocol::JobId, OpenRead> reading_;  // reads of live records that are open
+  std::set<std::string> claimed_;                // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
   std::set<std::string> stopping_;           // machines with tasks that are to stop
