--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -69,7 +69,7 @@
 // the last real heartbeat may still be on its way.
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
   if (!machine.saw_term || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
-    apply_heartbeat(machine, heartbeat, true);
+    apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
   if (may_place()) check_reserving_gangs(machine);
 }
 
@@ -113,7 +113,7 @@
     auto& run = job->runs.at(id.index);
     if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
     commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
-    launched(machine, *job, run, true);
+    launched(machine, *job, run, LaunchPath::kDirectCommand);
     machine.direct.insert({id, run.attempt});
   }
   if (!commands.empty()) direct_.send(machine, std::move(commands));
--- /dev/null
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -0,0 +1,306 @@
+/// @file
+/// Scheduler: what a worker's heartbeat proves about runs, reservations and unknown tasks. docs/design.md,
+/// section "What was added", "Evidence".
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <map>
+#include <set>
+#include <string>
+#include <tuple>
+
+#include "constants.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+using bookkeeping::GangState;
+using bookkeeping::Job;
+using bookkeeping::JobLedger;
+using bookkeeping::JobState;
+using bookkeeping::Machine;
+using bookkeeping::RunState;
+using bookkeeping::TaskRun;
+using protocol::ExitReason;
+using protocol::Heartbeat;
+using protocol::TaskId;
+using protocol::TaskPhase;
+using protocol::TaskStatus;
+
+namespace {
+std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
+
+// Each task once. Should one stand twice, the live attempt is the one that matters.
+std::map<TaskId, const TaskStatus*> tasks_shown(const Heartbeat& heartbeat) {
+  std::map<TaskId, const TaskStatus*> shown;
+  for (const auto& task : heartbeat.tasks) {
+    auto& slot = shown[task.task];
+    if (slot == nullptr || slot->phase == TaskPhase::kExited) slot = &task;
+  }
+  return shown;
+}
+}  // namespace
+
+// What a newer heartbeat of a machine proves, once it shows our token.
+void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, HeartbeatSource source) {
+  const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
+  if (agent_restarted) on_agent_restart(machine);
+  take_machine_facts(machine, heartbeat);
+  const auto shown = tasks_shown(heartbeat);
+  placements_.set_unknown_tasks(machine, {});
+  machine.clears.clear();
+  std::set<TaskId> settled;
+  const std::set<TaskId> known = machine.tasks;
+  for (const auto& id : known) {
+    Job* job = context_.jobs.find(id.job);
+    if (job == nullptr) continue;
+    const auto found = job->runs.find(id.index);
+    if (found == job->runs.end()) continue;
+    const auto entry = shown.find(id);
+    if (entry == shown.end() || entry->second->attempt != found->second.attempt)
+      run_not_shown(machine, *job, id.index, {agent_restarted, source});
+    else if (run_shown(machine, *job, id.index, *entry->second))
+      settled.insert(id);
+  }
+  adopt_unknown(machine, shown, settled);
+  for (const auto& task : heartbeat.tasks) {
+    // The second entry of a task that stands twice.
+    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
+  }
+  confirm_reservations(machine);
+  cancelled_work_.update(machine);
+}
+
+void Scheduler::on_agent_restart(Machine& machine) {
+  // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
+  if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
+    note_undelivered(machine, c::kUndeliveredMost);
+  // Commands for the old agent epoch are refused from now on.
+  machine.direct.clear();
+}
+
+// Address, type, zone, kind, counters and notice.
+void Scheduler::take_machine_facts(Machine& machine, const Heartbeat& heartbeat) {
+  machine.addr = heartbeat.addr;
+  if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
+      machine.cpus <= 0) {
+    mark_reconciled(machine);
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
+    know_type(machine);
+  }
+  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
+  record_contact(machine, heartbeat.agent_epoch, heartbeat.seq);
+  const bool had_interruption_notice = machine.interruption_at.has_value();
+  machine.interruption_at = heartbeat.interruption_notice_s
+                                ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
+                                : std::nullopt;
+  if (machine.interruption_at && !had_interruption_notice)
+    spdlog::info("machine {}: interruption notice, {:.0f} s left", machine.name,
+                 *heartbeat.interruption_notice_s);
+}
+
+// A run of ours that the heartbeat does not show.
+void Scheduler::run_not_shown(Machine& machine, Job& job, std::uint32_t index,
+                              const HeartbeatContext& context) {
+  const TaskRun& run = job.runs.at(index);
+  if (run.state == RunState::kPlanned) return;
+  if (run.seen)
+    return run_lost(job, index,
+                    context.agent_restarted ? "its machine began a new agent epoch"
+                                            : "it is not on its machine any more");
+  // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
+  // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
+  // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
+  const bool settled = run.direct ? machine.agent_epoch > run.launch_agent_epoch
+                                  : context.source == HeartbeatSource::kWorker &&
+                                        std::tie(machine.agent_epoch, machine.seq) >
+                                            std::tie(run.launch_agent_epoch, run.launch_seq);
+  if (!settled) return;
+  if (!run.direct) {
+    note_undelivered(machine, 1);
+    job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
+  }
+  run_lost(job, index, "the launch did not arrive");
+}
+
+// A run of ours, as the heartbeat shows it. True: it has ended.
+bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+  TaskRun& run = job.runs.at(index);
+  if (!run.seen) machine.undelivered = machine.probe_failures = 0;  // it took a command
+  run.seen = true;
+  if (task.phase == TaskPhase::kExited) {
+    task_exited(machine, job, index, task);
+    return true;
+  }
+  if (run.state == RunState::kLaunched || run.state == RunState::kPlanned)
+    JobLedger::set_run(job, run, RunState::kPresent);
+  if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning) run_began(machine, job, run);
+  run.phase = task.phase;
+  return false;
+}
+
+void Scheduler::run_began(Machine& machine, Job& job, TaskRun& run) {
+  const double now = context_.now.steady;
+  run.running_since = now;
+  machine.fetching += (now - run.launched_at) * job.spec.cpus;
+  machine.images[job.spec.image] = now;
+  if (job.first_start != 0) return;
+  job.first_start = now;
+  const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
+  if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
+  context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
+                          std::max(0.0, waited));
+}
+
+// Tasks that are no runs of ours: an earlier leader's, or old attempts.
+void Scheduler::adopt_unknown(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
+                              const std::set<TaskId>& settled) {
+  for (const auto& [id, task] : shown) {
+    if (settled.contains(id)) continue;
+    if (const Job* job = context_.jobs.find(id.job)) {
+      const auto run = job->runs.find(id.index);
+      if (run != job->runs.end() && run->second.machine == machine.name &&
+          run->second.attempt == task->attempt)
+        continue;
+    }
+    adopt(machine, *task);
+  }
+}
+
+// An attempt that a direct command started stays listed: the command may come once more, and would start it
+// again.
+void Scheduler::clear_later(Machine& machine, const TaskStatus& task) {
+  if (!machine.direct.contains({task.task, task.attempt}))
+    machine.clears.push_back({task.task, task.attempt});
+}
+
+void Scheduler::adopt(Machine& machine, const TaskStatus& task) {
+  Job* job = context_.jobs.find(task.task.job);
+  if (task.phase == TaskPhase::kExited) {
+    clear_later(machine, task);
+    if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
+        task.task.index >= job->spec.tasks)
+      return;
+    return record_result(*job, task.task.index);
+  }
+  const bool wanted = job != nullptr && job->state == JobState::kActive &&
+                      task.task.index < job->spec.tasks && !job->done[task.task.index] &&
+                      !job->runs.contains(task.task.index) &&
+                      (!job->spec.gang || job->attempt == 0 || job->attempt == task.attempt);
+  if (!wanted) {
+    auto unknown_tasks = machine.unknown_tasks;
+    unknown_tasks.push_back(task);
+    placements_.set_unknown_tasks(machine, std::move(unknown_tasks));
+    return;
+  }
+  TaskRun run;
+  run.machine = machine.name;
+  run.attempt = task.attempt;
+  run.state = RunState::kPresent;
+  run.phase = task.phase;
+  run.seen = true;
+  run.planned_at = run.launched_at = run.running_since = context_.now.steady;
+  job->attempt = task.attempt;
+  placements_.add_run(*job, task.task.index, run, machine);
+  machine.images[job->spec.image] = context_.now.steady;
+  if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
+}
+
+// A result counts whoever started the task. The tasks of a gang complete together.
+void Scheduler::record_result(Job& job, std::uint32_t index) {
+  if (job.spec.gang) {
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i) job.mark_done(i);
+  } else {
+    job.mark_done(index);
+  }
+  if (job.done_count == job.spec.tasks) complete(job);
+}
+
+void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+  const TaskRun run = job.runs.at(index);
+  placements_.remove_run(job, index);
+  if (run.running_since > 0) {
+    const bool kept = task.exit_reason == ExitReason::kDone || task.saved;
+    (kept ? machine.useful : machine.lost) += (context_.now.steady - run.running_since) * job.spec.cpus;
+  }
+  if (spdlog::should_log(spdlog::level::debug))
+    spdlog::debug("task {} attempt {} on {}: {}{}", protocol::task_text(task.task), task.attempt,
+                  machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
+  if (task.exit_reason == ExitReason::kDone) {
+    task_succeeded(machine, job, index, run);
+    clear_later(machine, task);
+    context_.metrics.count("tasks_done");
+    return;
+  }
+  clear_later(machine, task);
+  if (job.over()) return;
+  delay_next_attempt(machine, job, task.exit_reason);
+  if (!job.spec.gang) {
+    placements_.return_task(job, index);
+    return;
+  }
+  if (job.gang != GangState::kStopping)
+    stop_gang(job, StopMode::kAtOnce, protocol::to_text(task.exit_reason));
+}
+
+void Scheduler::task_succeeded(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
+  machine.errors = 0;
+  machine.error_jobs.clear();
+  job.failures = 0;
+  job.failed_on.clear();
+  if (run.running_since > 0 && run.running_since > run.planned_at)
+    run_times_.completed(job, context_.now.steady - run.running_since);
+  if (job.state == JobState::kActive) record_result(job, index);
+}
+
+// Where and when the job is tried again after one of its tasks ended without a result.
+void Scheduler::delay_next_attempt(Machine& machine, Job& job, ExitReason reason) {
+  const double now = context_.now.steady;
+  switch (reason) {
+    case ExitReason::kError:
+      record_failure(machine, job);
+      break;
+    case ExitReason::kInsufficientResources:
+      job.avoid[machine.name] = now + context_.settings.heartbeat_interval_s * 2;
+      job.backoff_until = std::max(job.backoff_until, now + c::kInsufficientResourcesBackoffS);
+      break;
+    case ExitReason::kBusy:
+      job.backoff_until = std::max(job.backoff_until, now + context_.settings.heartbeat_interval_s);
+      break;
+    case ExitReason::kUnknown:
+      job.backoff_until = std::max(job.backoff_until, now + c::kUnknownBackoffS);
+      break;
+    default:
+      break;
+  }
+}
+
+void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
+  context_.metrics.count("tasks_lost");
+  spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
+  placements_.remove_run(job, index);
+  if (job.over()) return;
+  if (!job.spec.gang) return placements_.return_task(job, index);
+  if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kAtOnce, why);
+}
+
+void Scheduler::lose_tasks(Machine& machine, const char* why) {
+  const auto tasks = machine.tasks;
+  for (const auto& id : tasks) {
+    if (Job* job = context_.jobs.find(id.job)) run_lost(*job, id.index, why);
+  }
+  placements_.set_unknown_tasks(machine, {});
+  mark_reconciled(machine);
+  const auto reservations = machine.reservations;
+  for (const auto id : reservations)
+    if (Job* job = context_.jobs.find(id)) {
+      placements_.release_reservations(*job);
+      if (job->gang == GangState::kReserving)
+        JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
+    }
+  dirty_ = true;
+}
+
+}  // namespace robinford::coordination
--- /dev/null
+++ b/src/coordination/leader/machine_faults.cpp
@@ -0,0 +1,65 @@
+/// @file
+/// Scheduler: machines that fail tasks or can't be reached take no more work.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cmath>
+#include <string>
+
+#include "constants.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+
+namespace robinford::coordination {
+namespace c = constants;
+using bookkeeping::Job;
+using bookkeeping::Machine;
+
+namespace {
+std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
+}  // namespace
+
+// A failed task speaks against its machine, its job, or both: a machine that fails different jobs is set
+// aside, a job that fails on different machines is tried ever more rarely.
+void Scheduler::record_failure(Machine& machine, Job& job) {
+  const double now = context_.now.steady;
+  ++machine.errors;
+  machine.error_jobs.insert(job.spec.id);
+  job.failed_on.insert(machine.name);
+  ++job.failures;
+  job.avoid[machine.name] = now + c::kAvoidS;
+  const bool job_suspect = static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines;
+  const bool works_elsewhere = !job_suspect && (job.done_count > 0 || !job.runs.empty());
+  if (job_suspect || job.spec.gang) {
+    const double pause = std::min(
+        c::kBackoffMaxS, c::kBackoffFirstS * std::pow(2.0, std::max(0.0, job.failed_on.size() - 2.0)));
+    job.backoff_until = std::max(job.backoff_until, now + (job_suspect ? pause : 0.0));
+  }
+  const bool sick = static_cast<int>(machine.error_jobs.size()) >= c::kMachineSuspectErrors ||
+                    (works_elsewhere && machine.errors > c::kMachineSuspectErrors);
+  spdlog::info("task of {} failed on {} ({} in a row there)", name_of(job), machine.name, machine.errors);
+  if (sick && !machine.cordoned) {
+    cordon(machine, "it fails the tasks of different jobs");
+    stop_machine_tasks(machine, "machine cordoned");
+  }
+}
+
+void Scheduler::cordon(Machine& machine, const char* why) {
+  if (machine.cordoned) return;
+  machine.cordoned = true;
+  context_.metrics.count("machines_cordoned");
+  spdlog::info("machine {} is cordoned: {}", machine.name, why);
+}
+
+// Commands that newer heartbeats show were never taken. Whether the machine is unreachable is settled by a
+// probe.
+void Scheduler::note_undelivered(Machine& machine, int by) {
+  machine.undelivered += by;
+  if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
+}
+
+void Scheduler::probe_if_suspect(Machine& machine) {
+  if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeEveryS) return;
+  direct_.probe(machine);
+}
+
+}  // namespace robinford::coordination
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -1,4 +1,6 @@
-// How a gang goes from reservations to running, and how it is stopped.
+/// @file
+/// Scheduler: how a gang goes from reservations to running, and how it is stopped. docs/design.md, section
+/// "What was kept".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -29,7 +31,7 @@
       if (complete_set)
         JobLedger::set_gang(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
-        stop_gang(job, false, "found incomplete by a new leader");
+        stop_gang(job, StopMode::kAtOnce, "found incomplete by a new leader");
       return;
     case GangState::kReserving: {
       const auto confirmed = std::count_if(job.reservations.begin(), job.reservations.end(),
@@ -53,7 +55,7 @@
       if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
       if (now - job.gang_since >
           c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
-        stop_gang(job, false, "its tasks did not all start");
+        stop_gang(job, StopMode::kAtOnce, "its tasks did not all start");
       return;
     }
     case GangState::kRunning:
@@ -95,12 +97,13 @@
   dirty_ = true;
 }
 
-void Scheduler::stop_gang(Job& job, bool orderly, const char* why) {
+void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
   placements_.release_reservations(job);
   JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
-  const double grace =
-      orderly && job.spec.checkpoint_s > 0 ? job.spec.save_s + context_.settings.gang_peer_s : 0;
+  const double grace = mode == StopMode::kOrderly && job.spec.checkpoint_s > 0
+                           ? job.spec.save_s + context_.settings.gang_peer_s
+                           : 0;
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
   for (const auto index : indices) stop_run(job, index, grace);
@@ -113,7 +116,7 @@
     Job* job = context_.jobs.find(id.job);
     if (job == nullptr) continue;
     if (job->spec.gang) {
-      if (job->gang != GangState::kStopping) stop_gang(*job, true, why);
+      if (job->gang != GangState::kStopping) stop_gang(*job, StopMode::kOrderly, why);
     } else {
       stop_run(*job, id.index,
                job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Scheduler: construction, phases, the tick, and why jobs wait.
 #include "coordination/scheduling/scheduler.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -1,6 +1,6 @@
-// The leader's work: heartbeats in, commands out; gangs in rounds of reservations, arrays into the capacity
-// that heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
-// gangs; direct.cpp direct commands.
+/// @file
+/// The leader's scheduler. Its implementation is in leader/ (recovery, heartbeats, machines, records of jobs)
+/// and scheduling/ (gangs, arrays, preemption).
 #pragma once
 
 #include <functional>
@@ -30,6 +30,7 @@
 
 namespace robinford::coordination {
 
+/// How far a new leader is. docs/design.md, section "States".
 enum class LeaderPhase : std::uint8_t {
   kNone,         // not the leader
   kLoading,      // reads the ledger
@@ -38,81 +39,118 @@
 };
 const char* to_text(LeaderPhase phase);
 
+/// The leader's work: takes heartbeats, decides what runs where, and answers with commands. It joins parts
+/// that own their state (arrival history, queue order, placements, unreconciled machines, direct commands,
+/// machine records, cancelled work); what is left here are the decisions that need several of them.
+///
+/// All state belongs to one term of leadership: `begin` starts from the ledger of the state service, `end`
+/// forgets. Times are seconds on the steady clock unless a name ends in `_ms` (time of day). docs/design.md,
+/// section "States", names the state machines.
 class Scheduler {
  public:
+  /// How answers and direct commands leave the controller. Neither may call back before it returns.
   struct Actions {
+    /// Answers the heartbeat that came with `key`.
     std::function<void(std::uint64_t key, int status, std::vector<protocol::Command> commands)> answer;
     std::function<void(const DirectCall& call)> direct;
   };
+  /// The references must outlive the scheduler.
   Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions, Actions actions);
 
-  void begin();  // elected: forget everything, load the ledger
-  void end();    // not the leader any more
+  /// This controller was elected: forgets everything and loads the ledger.
+  void begin();
+  /// This controller is not the leader any more.
+  void end();
+  /// Does what is due by time.
   void tick();
+  /// Takes a worker's heartbeat; answers it now or, while the ledger is loading, later.
   void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
-  // A heartbeat that equals the one of `base_seq` but for its count. False: that one is not what the
-  // in-memory state stands on.
+  /// A heartbeat that equals the one of `base_seq` but for its count. Returns false, and does nothing, if the
+  /// in-memory state is not based on that one: then the whole heartbeat is needed.
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
+  /// The answer to the direct command `id`; `heartbeat` is null, and `status` 0, if there was none.
   void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
+  /// When this term began to place; 0 before the first time.
   double serving_since() const { return serving_since_; }
   ChangeLog& change_log() { return change_log_; }
   JobLookup& lookup() { return lookup_; }
-  // What memory says of jobs that wait for others is all that the records say.
+  /// What memory says of jobs that wait for others is all that the records say.
   bool dependencies_settled() const { return dependencies_.settled(); }
-  // Answers about jobs may come from this in-memory state.
+  /// Answers about jobs may come from this in-memory state.
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
+  /// May launch work: leads, is reconciled, and knows all announced cancellations.
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up();
   }
 
-  // A job was admitted, and is in the ledger.
+  /// A job was admitted, and is in the ledger.
   void job_added(bookkeeping::Job& job);
-  // The final record is durable (ours or another controller's): nothing of the job may start, all of it must
-  // go.
+  /// The final record is durable (ours or another controller's): nothing of the job may start, all of it must
+  /// go.
   void job_over(bookkeeping::Job& job, bookkeeping::FinalState state);
+  /// A user cancels the job: nothing of it starts from now on, and its final record is written.
   void cancel(bookkeeping::Job& job);
-  // All that the job needs is durably done, or something that it needs is durably cancelled.
+  /// All that the job needs is durably done, or something that it needs is durably cancelled.
   void dependencies_done(bookkeeping::Job& job);
   void dependency_cancelled(bookkeeping::Job& job);
-  // Another controller wrote about this job.
+  /// Another controller wrote about this job.
   void read_job(protocol::JobId id);
-  // Another controller made a cancellation durable.
+  /// Another controller made a cancellation durable.
   void on_cancelled_elsewhere(protocol::JobId id);
 
-  // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
+  /// The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
     if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
-  // The cloud confirmed that the machine is gone.
+  /// The cloud confirmed that the machine is gone.
   void machine_gone(bookkeeping::Machine& machine);
+  /// Takes the machine's capacity from the catalog, if its type is listed.
   void know_type(bookkeeping::Machine& machine);
+  /// When (steady) the machine's lease has expired for certain.
   double lease_over_at(const bookkeeping::Machine& machine) const;
+  /// The last moment (steady) at which any controller can have answered one of its heartbeats.
   double last_answer_at(const bookkeeping::Machine& machine) const;
+  /// Puts on record that a silent machine gets no answers, once it has been silent for long enough.
   void stop_answering(bookkeeping::Machine& machine);
-  // An unresponsive machine that is worth giving up.
+  /// An unresponsive machine that is worth giving up.
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
-  // Time until the job should be over: by its own due time or by its class's aim.
+  /// Time until the job should be over: by its own due time or by its class's aim.
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
-  // What the fleet asks of the arrival history.
+  /// What the fleet asks of the arrival history.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
+  /// See `coordination::has_gang`.
   static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
+  /// Stops all tasks on the machine, those with checkpoints in order.
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
+  /// Gangs that wait for capacity, as of the last round.
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
+  /// See `UnreconciledMachines::count`.
   std::size_t unreconciled_machines() const { return unreconciled_.count(); }
-  // What is wrong with the running accounts, by a count of everything; empty when nothing is. For tests.
+  /// Compares the running sums with a count of everything. Returns a description of the first difference,
+  /// empty if there is none. For tests.
   std::string audit();
 
  private:
+  enum class HeartbeatSource : std::uint8_t {
+    kWorker,        // sent by the worker itself: it has taken or dropped the answer to the one before
+    kDirectAnswer,  // the answer to a direct command: a launch in the last answer may still be on its way
+  };
+  enum class LaunchPath : std::uint8_t { kHeartbeatAnswer, kDirectCommand };
+  enum class StopMode : std::uint8_t {
+    kOrderly,  // tasks with checkpoints get time to save
+    kAtOnce,
+  };
+
   void arrived(const bookkeeping::Job& job);
   void set_phase(LeaderPhase phase);
   // ---- loading ----
@@ -128,10 +166,11 @@
   bool entitled(std::uint64_t key, std::uint64_t fencing_token);
   void first_contact(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
   void record_contact(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
-  void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, bool direct);
+  void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat,
+                       HeartbeatSource source);
   struct HeartbeatContext {
     bool agent_restarted;  // of the machine, since its last heartbeat
-    bool direct;           // the answer to a direct command, not a heartbeat of its own
+    HeartbeatSource source;
   };
   void on_agent_restart(bookkeeping::Machine& machine);
   void take_machine_facts(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
@@ -148,6 +187,10 @@
   void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
   void task_exited(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
                    const protocol::TaskStatus& task);
+  void task_succeeded(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                      const bookkeeping::TaskRun& run);
+  void delay_next_attempt(bookkeeping::Machine& machine, bookkeeping::Job& job, protocol::ExitReason reason);
+  void record_result(bookkeeping::Job& job, std::uint32_t index);
   void adopt(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   void clear_later(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
@@ -186,7 +229,7 @@
   void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
   void check_gang(bookkeeping::Job& job);
-  void stop_gang(bookkeeping::Job& job, bool orderly, const char* why);
+  void stop_gang(bookkeeping::Job& job, StopMode mode, const char* why);
   void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace);
   void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
@@ -217,7 +260,8 @@
   void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
   const char* why_waiting(const bookkeeping::Job& job) const;
-  void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run, bool direct);
+  void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
+                LaunchPath path);
 
   ControllerContext& context_;
   Election& election_;
