--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -300,7 +300,7 @@
       if (job->gang == GangState::kReserving)
         JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
     }
-  dirty_ = true;
+  round_wanted_ = true;
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -40,7 +40,7 @@
   if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
     if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
-    early_.emplace_back(key, heartbeat);
+    early_.push_back({key, heartbeat});
     return;
   }
   Machine* machine = context_.machines.find(heartbeat.machine);
@@ -150,7 +150,7 @@
   if (machine.state == MachineState::kBooting || machine.state == MachineState::kUnresponsive)
     MachineLedger::set_state(machine, MachineState::kUp);
   if (!machine.tasks.empty() || !machine.reservations.empty()) machine.idle_since = now;
-  dirty_ = true;
+  round_wanted_ = true;
 }
 
 // The heartbeat is the evidence that reservations wait for: the capacity is still free.
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -230,7 +230,7 @@
     dependencies_.watch(job);
   else
     arrived(job);
-  dirty_ = true;
+  round_wanted_ = true;
   queue_order_.mark_changed();
 }
 
@@ -242,7 +242,7 @@
   job.ready_on_record = false;
   job.known_at = context_.now.steady;
   context_.metrics.count("jobs_released");
-  dirty_ = true;
+  round_wanted_ = true;
   queue_order_.mark_changed();
   if (phase_ != LeaderPhase::kLoading) arrived(job);
 }
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -40,7 +40,7 @@
   direct_.clear();
   gang_kept_.clear();
   survey_.expire();
-  dirty_ = true;
+  round_wanted_ = true;
   next_watch_ = 0;
   next_sweep_ = 0;
   next_tiers_ = 0;
@@ -54,7 +54,7 @@
   machine_records_.reset();
   change_log_.end();
   context_.writer.clear_guard();
-  for (const auto& [key, heartbeat] : early_) actions_.answer(key, 421, {});
+  for (const auto& waiting : early_) actions_.answer(waiting.key, 421, {});
   early_.clear();
   waiting_gangs_.clear();
   queue_order_.clear();
@@ -193,7 +193,7 @@
   set_phase(LeaderPhase::kReconciling);
   auto early = std::move(early_);
   early_.clear();
-  for (auto& [key, body] : early) heartbeat(key, body);
+  for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
 // A full round: every machine that an earlier leader may have used has proved what is on it, or does not
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -22,8 +22,8 @@
 
 // Whether anything changed since the last round that may let a gang start.
 bool Scheduler::take_round_due() {
-  const bool due = dirty_ || placements_.capacity_freed() || machine_records_.written();
-  dirty_ = false;
+  const bool due = round_wanted_ || placements_.capacity_freed() || machine_records_.written();
+  round_wanted_ = false;
   placements_.clear_capacity_freed();
   machine_records_.clear_written();
   return due;
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -94,7 +94,7 @@
   found->second.stop_grace = grace;
   JobLedger::set_run(job, found->second, RunState::kStopping);
   stopping_.insert(found->second.machine);
-  dirty_ = true;
+  round_wanted_ = true;
 }
 
 void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,7 +1,11 @@
+/// @file
+/// Implements the rules of placement.
 #include "coordination/scheduling/placement.hpp"
 
 #include <algorithm>
-#include <cmath>
+#include <map>
+#include <string>
+#include <utility>
 
 #include "constants.hpp"
 
@@ -102,63 +106,94 @@
   return here >= most ? 0 : most - here;
 }
 
-std::optional<std::vector<Assignment>> map_gang(const JobSpec& spec, std::vector<Offer> offers,
-                                                std::uint32_t needed, std::uint32_t extra, bool concentrate) {
-  std::erase_if(offers, [](const Offer& offer) { return offer.slots == 0; });
+namespace {
+
+// Zones with most free capacity first, and in each the machines with most; those with the image before
+// others.
+void sort_offers(std::vector<Offer>& offers) {
   std::map<std::string, double> zone_free_cpus;
+  for (const auto& offer : offers) zone_free_cpus[offer.machine->zone] += offer.free_cpus;
+  std::sort(offers.begin(), offers.end(), [&](const Offer& left, const Offer& right) {
+    const double left_zone_cpus = zone_free_cpus[left.machine->zone];
+    const double right_zone_cpus = zone_free_cpus[right.machine->zone];
+    if (left_zone_cpus != right_zone_cpus) return left_zone_cpus > right_zone_cpus;
+    if (left.machine->zone != right.machine->zone) return left.machine->zone < right.machine->zone;
+    if (left.free_cpus != right.free_cpus) return left.free_cpus > right.free_cpus;
+    if (left.warm != right.warm) return left.warm;
+    return left.machine->name < right.machine->name;
+  });
+}
+
+// Leaves only the offers of the first zone that can take `needed` tasks; none if there is no such zone.
+void keep_one_zone(std::vector<Offer>& offers, std::uint32_t needed) {
   std::map<std::string, std::uint32_t> zone_slots;
-  for (const auto& offer : offers) {
-    zone_free_cpus[offer.machine->zone] += offer.free_cpus;
-    zone_slots[offer.machine->zone] += offer.slots;
-  }
-  std::sort(offers.begin(), offers.end(), [&](const Offer& a, const Offer& b) {
-    const double ra = zone_free_cpus[a.machine->zone], rb = zone_free_cpus[b.machine->zone];
-    if (ra != rb) return ra > rb;
-    if (a.machine->zone != b.machine->zone) return a.machine->zone < b.machine->zone;
-    if (a.free_cpus != b.free_cpus) return a.free_cpus > b.free_cpus;
-    if (a.warm != b.warm) return a.warm;
-    return a.machine->name < b.machine->name;
+  for (const auto& offer : offers) zone_slots[offer.machine->zone] += offer.slots;
+  const auto chosen = std::find_if(offers.begin(), offers.end(), [&](const Offer& offer) {
+    return zone_slots[offer.machine->zone] >= needed;
   });
-  if (spec.one_zone) {
-    std::string chosen;
-    for (const auto& offer : offers) {
-      if (zone_slots[offer.machine->zone] < needed) continue;
-      chosen = offer.machine->zone;
-      break;
+  if (chosen == offers.end()) return offers.clear();
+  const std::string zone = chosen->machine->zone;
+  std::erase_if(offers, [&](const Offer& offer) { return offer.machine->zone != zone; });
+}
+
+// Distributes tasks over sorted offers.
+class GangMapper {
+ public:
+  GangMapper(std::vector<Offer> offers, std::uint32_t most_tasks, std::uint32_t most_per_zone)
+      : offers_(std::move(offers)),
+        taken_(offers_.size()),
+        most_tasks_(most_tasks),
+        most_per_zone_(most_per_zone) {}
+
+  // Gives each machine up to `per_machine` more tasks; returns how many were placed.
+  std::uint32_t pass(std::uint32_t per_machine) {
+    const std::uint32_t before = placed_;
+    for (std::size_t i = 0; i < offers_.size() && placed_ < most_tasks_; ++i) {
+      auto& in_zone = in_zone_[offers_[i].machine->zone];
+      const std::uint32_t tasks =
+          std::min({offers_[i].slots - taken_[i], most_per_zone_ - std::min(in_zone, most_per_zone_),
+                    most_tasks_ - placed_, per_machine});
+      taken_[i] += tasks;
+      in_zone += tasks;
+      placed_ += tasks;
     }
-    if (chosen.empty()) return std::nullopt;
-    std::erase_if(offers, [&](const Offer& offer) { return offer.machine->zone != chosen; });
+    return placed_ - before;
   }
-  const std::uint32_t zone_cap = spec.spread ? (needed + 1) / 2 : needed + extra;
-  std::map<std::string, std::uint32_t> in_zone;
-  std::vector<std::uint32_t> taken(offers.size());
-  std::uint32_t placed = 0;
-  // Concentrate: a machine is filled before the next. Spread: one task a machine down the list, wrapping
-  // round.
-  const auto pass = [&](std::uint32_t per_machine) {
-    bool any = false;
-    for (std::size_t i = 0; i < offers.size() && placed < needed + extra; ++i) {
-      auto& zone = in_zone[offers[i].machine->zone];
-      const std::uint32_t resources =
-          std::min({offers[i].slots - taken[i], zone_cap - std::min(zone, zone_cap), needed + extra - placed,
-                    per_machine});
-      taken[i] += resources;
-      zone += resources;
-      placed += resources;
-      any = any || resources > 0;
-    }
-    return any;
-  };
-  if (concentrate)
-    pass(needed + extra);
-  else
-    while (pass(1)) {
+  std::uint32_t placed() const { return placed_; }
+  std::vector<Assignment> assignments() const {
+    std::vector<Assignment> result;
+    for (std::size_t i = 0; i < offers_.size(); ++i)
+      if (taken_[i] > 0) result.push_back({offers_[i].machine->name, taken_[i]});
+    return result;
+  }
+
+ private:
+  std::vector<Offer> offers_;
+  std::vector<std::uint32_t> taken_;  // slots of the offer with the same index
+  std::map<std::string, std::uint32_t> in_zone_;
+  std::uint32_t placed_ = 0;
+  std::uint32_t most_tasks_;
+  std::uint32_t most_per_zone_;
+};
+
+}  // namespace
+
+std::optional<std::vector<Assignment>> map_gang(const JobSpec& spec, std::vector<Offer> offers,
+                                                std::uint32_t needed, std::uint32_t extra, bool concentrate) {
+  std::erase_if(offers, [](const Offer& offer) { return offer.slots == 0; });
+  sort_offers(offers);
+  if (spec.one_zone) keep_one_zone(offers, needed);
+  const std::uint32_t most_tasks = needed + extra;
+  GangMapper mapper(std::move(offers), most_tasks, spec.spread ? (needed + 1) / 2 : most_tasks);
+  if (concentrate) {
+    mapper.pass(most_tasks);  // a machine is filled before the next
+  } else {
+    // One task a machine down the list, from the top again until nothing more fits.
+    while (mapper.pass(1) > 0) {
     }
-  if (placed < needed) return std::nullopt;
-  std::vector<Assignment> result;
-  for (std::size_t i = 0; i < offers.size(); ++i)
-    if (taken[i] > 0) result.push_back({offers[i].machine->name, taken[i]});
-  return result;
+  }
+  if (mapper.placed() < needed) return std::nullopt;
+  return mapper.assignments();
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Implements RunTimes.
 #include "coordination/scheduling/run_times.hpp"
 
 #include <algorithm>
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -79,7 +79,7 @@
 // The machine has proved what is on it, or that nothing of an earlier leader can be.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
-    dirty_ = true;
+    round_wanted_ = true;
     queue_order_.mark_changed();
   }
 }
@@ -123,7 +123,7 @@
   direct_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
-    dirty_ = true;
+    round_wanted_ = true;
   }
   if (now >= next_watch_) {
     next_watch_ = now + c::kWatchEveryS;
@@ -143,7 +143,7 @@
   }
   if (phase_ == LeaderPhase::kServing) {
     // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
-    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) dirty_ = true;
+    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) round_wanted_ = true;
     round();
     log_wait_reasons();
   }
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -271,13 +271,23 @@
   Dependencies dependencies_;
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
-  double began_ = 0, serving_since_ = 0, reconcile_until_ = 0, next_reconcile_check_ = 0;
-  double last_round_ = 0, next_watch_ = 0, next_sweep_ = 0, next_log_ = 0;
-  bool dirty_ = false;
+  double began_ = 0;              // this term
+  double serving_since_ = 0;
+  double reconcile_until_ = 0;
+  double next_reconcile_check_ = 0;
+  double last_round_ = 0;
+  double next_watch_ = 0;
+  double next_sweep_ = 0;
+  double next_log_ = 0;
+  bool round_wanted_ = false;          // something changed that may let a gang start
   bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
   bool first_launch_seen_ = false;
   std::uint64_t attempt_counter_ = 0;
-  std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
+  struct EarlyHeartbeat {
+    std::uint64_t key;  // to answer it by
+    protocol::Heartbeat heartbeat;
+  };
+  std::vector<EarlyHeartbeat> early_;  // that came while the ledger was loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
