--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Implements ChangeLog.
 #include "coordination/leader/change_log.hpp"
 
 #include <algorithm>
@@ -112,16 +114,16 @@
       {{key, mod_revision, std::nullopt}},
       [this, key, mod_revision, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
-          uncollected_.emplace_back(key, mod_revision);
+          uncollected_.push_back({key, mod_revision});
       },
       WriteClass::kTidy);
 }
 
 void ChangeLog::delete_uncollected() {
   while (!uncollected_.empty() && context_.writer.waiting() < c::kQuietWriter) {
-    const auto [key, mod_revision] = uncollected_.back();
+    const StoredEntry entry = uncollected_.back();
     uncollected_.pop_back();
-    delete_entry(key, mod_revision);
+    delete_entry(entry.key, entry.mod_revision);
   }
 }
 
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Implements Dependencies.
 #include "coordination/leader/dependencies.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -1,6 +1,5 @@
-// The leader's handling of waiting jobs: finds out what became of the jobs that they need, says when one is
-// ready or cancelled, and reckons what jobs inherit from those that need them. Only durable records release a
-// job.
+/// @file
+/// Jobs that wait for other jobs. docs/design.md, section "Dependencies".
 #pragma once
 
 #include <functional>
@@ -13,29 +12,36 @@
 
 namespace robinford::coordination {
 
+/// The leader's handling of waiting jobs: finds out what became of the jobs that they need, reports when one
+/// is ready or cancelled, and computes what jobs inherit from those that need them. Only durable records
+/// release a job. Its state belongs to one term of leadership; answers that belong to an earlier one are
+/// ignored.
 class Dependencies {
  public:
+  /// What the leader has to act on.
   struct Events {
     std::function<void(bookkeeping::Job&)> ready;      // all that it needs is done
     std::function<void(bookkeeping::Job&)> cancelled;  // something that it needs is cancelled
     std::function<void(protocol::JobId)> admitted;  // accepted by another controller, not in the ledger yet
   };
+  /// The references must outlive the object.
   Dependencies(ControllerContext& context, JobLookup& lookup, Events events);
 
-  void clear();  // of a new term, or of none
-  // A waiting job is in the ledger from now on.
+  /// A term begins or ends.
+  void clear();
+  /// A waiting job is in the ledger from now on.
   void watch(bookkeeping::Job& job);
-  // The job's final state is durable. Its dependents become ready or are cancelled before this returns.
+  /// The job's final state is durable. Its dependents become ready or are cancelled before this returns.
   void finished(protocol::JobId id, bookkeeping::FinalState state);
-  // Reads the records of dependencies whose state is not known, a bounded number at a time.
+  /// Reads the records of dependencies whose state is not known, a bounded number at a time.
   void tick();
 
-  // Of every dependency it is known whether it is over: answers about waiting jobs may come from memory.
+  /// Of every dependency it is known whether it is over: answers about waiting jobs may come from memory.
   bool settled() const { return unknown_.empty(); }
-  // Each waiting job waits for one that is known not to be done. The others might have been released by an
-  // earlier leader, so a new one knows them for what they are before it looks at any heartbeat.
+  /// Each waiting job waits for one that is known not to be done. The others might have been released by an
+  /// earlier leader, so a new one knows them for what they are before it looks at any heartbeat.
   bool release_decided();
-  // Priorities and due times of all jobs, from those that need them. `duration_s`: from ready to done.
+  /// Priorities and due times of all jobs, from those that need them. `duration_s`: from ready to done.
   void inherit(const std::function<double(const bookkeeping::Job&)>& duration_s);
 
  private:
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -4,6 +4,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "constants.hpp"
 #include "coordination/scheduling/scheduler.hpp"
@@ -155,8 +156,26 @@
   loading_dependencies_ = true;
 }
 
+// The ledger is complete: works out what earlier leaders may have left running, and begins to reconcile.
 void Scheduler::loaded() {
   loading_dependencies_ = false;
+  list_unreconciled_machines();
+  settle_loaded_jobs();
+  unreconciled_.charge_quota();
+  expect_old_cancelled_work_gone();
+  context_.cancellations.change_log_read(election_.last_renewed());
+  const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  reconcile_until_ =
+      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
+  spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
+               context_.machines.all().size());
+  set_phase(LeaderPhase::kReconciling);
+  const auto early = std::exchange(early_, {});
+  for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
+}
+
+// Machines of earlier leaders are unreconciled, unless their lease has expired for certain.
+void Scheduler::list_unreconciled_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
     know_type(machine);
     if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
@@ -165,6 +184,10 @@
     unreconciled_.add(machine);
     if (!machine.addr.empty()) direct_.plan_probe(name);
   }
+}
+
+// Ends the jobs that are over already, and counts the others as arrived.
+void Scheduler::settle_loaded_jobs() {
   for (auto& [id, job] : context_.jobs.all()) {
     // The list may have been made just before another controller withdrew the job.
     if (const auto state = context_.jobs.final_state(id); state && !job->over()) {
@@ -174,9 +197,11 @@
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
     if (job->state == JobState::kActive) arrived(*job);
   }
-  unreconciled_.charge_quota();
-  // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
-  // one that hangs also after its lease.
+}
+
+// Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
+// one that hangs also after its lease.
+void Scheduler::expect_old_cancelled_work_gone() {
   for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
     for (auto& [name, machine] : context_.machines.all())
@@ -184,16 +209,6 @@
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
         cancelled_work_.expect_gone(machine, *job, began_);
   }
-  context_.cancellations.change_log_read(election_.last_renewed());
-  const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
-  reconcile_until_ =
-      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
-  spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
-               context_.machines.all().size());
-  set_phase(LeaderPhase::kReconciling);
-  auto early = std::move(early_);
-  early_.clear();
-  for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
 // A full round: every machine that an earlier leader may have used has proved what is on it, or does not
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -161,6 +161,9 @@
   void load_failed(std::function<void()> again);
   void load_dependencies();
   void loaded();
+  void list_unreconciled_machines();
+  void settle_loaded_jobs();
+  void expect_old_cancelled_work_gone();
   bool reconciled();
   // ---- heartbeats ----
   bool entitled(std::uint64_t key, std::uint64_t fencing_token);
