--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -128,7 +128,10 @@
 // A run of ours, as the heartbeat shows it. True: it has ended.
 bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) machine.undelivered = machine.probe_failures = 0;  // it took a command
+  if (!run.seen) {  // it took a command
+    machine.undelivered = 0;
+    machine.probe_failures = 0;
+  }
   run.seen = true;
   if (task.phase == TaskPhase::kExited) {
     task_exited(machine, job, index, task);
@@ -201,7 +204,9 @@
   run.state = RunState::kPresent;
   run.phase = task.phase;
   run.seen = true;
-  run.planned_at = run.launched_at = run.running_since = context_.now.steady;
+  run.planned_at = context_.now.steady;
+  run.launched_at = context_.now.steady;
+  run.running_since = context_.now.steady;
   job->attempt = task.attempt;
   placements_.add_run(*job, task.task.index, run, machine);
   machine.images[job->spec.image] = context_.now.steady;
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -97,10 +97,10 @@
       });
 }
 
-// By whatever way this controller learns of it: remembering the state alone once let the in-memory state go
-// on with the job. Told before its user is, so that no answer from this in-memory state is older than what
-// the user heard. A degraded leader stops the tasks too: their machines go on sending heartbeats to it. While
-// the ledger is read, loaded() does it.
+// Called for every way in which this controller learns of the cancellation, and before its user gets an
+// answer, so that no answer from this in-memory state is older than that. Remembering the final state alone
+// would let the scheduler go on with the job. A degraded leader stops the tasks too: their machines go on
+// sending heartbeats to it. While the ledger is loading, settle_loaded_jobs does it.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -33,9 +33,9 @@
   return last;
 }
 
-// From now on its heartbeats are answered only once its record says so: whoever leads next can reckon its
-// lease from the last answer. Leaders that followed one another within a lease each waited for a whole one
-// before.
+// From now on its heartbeats are answered only once its record says so: the next leader can compute the end
+// of its lease from the last answer. Without that, leaders that followed one another within a lease would
+// each wait for a whole one.
 void Scheduler::stop_answering(Machine& machine) {
   if (machine.unanswered_since_ms || machine.state == MachineState::kGone) return;
   // A machine that comes back earlier must be answered at once, or its tasks end with its lease.
