--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Scheduler: construction, phases, the tick, and why jobs wait.
 #include "coordination/scheduling/scheduler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -51,7 +53,8 @@
       placements_(context),
       unreconciled_(context),
       direct_(context, election, actions_.direct),
-      machine_records_(context, election, versions) {}
+      machine_records_(context, election, versions),
+      cancelled_work_(context) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
@@ -76,7 +79,7 @@
 // The machine has proved what is on it, or that nothing of an earlier leader can be.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
-    dirty_ = true;
+    round_wanted_ = true;
     queue_order_.mark_changed();
   }
 }
@@ -120,7 +123,7 @@
   direct_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
-    dirty_ = true;
+    round_wanted_ = true;
   }
   if (now >= next_watch_) {
     next_watch_ = now + c::kWatchEveryS;
@@ -140,7 +143,7 @@
   }
   if (phase_ == LeaderPhase::kServing) {
     // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
-    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) dirty_ = true;
+    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) round_wanted_ = true;
     round();
     log_wait_reasons();
   }
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -1,6 +1,6 @@
-// The leader's work: heartbeats in, commands out; gangs in rounds of reservations, arrays into the capacity
-// that heartbeats show. scheduler.cpp has the ledger, heartbeats and time; placing.cpp the queues, arrays and
-// gangs; direct.cpp direct commands.
+/// @file
+/// The leader's scheduler. Its implementation is in leader/ (recovery, heartbeats, machines, records of jobs)
+/// and scheduling/ (gangs, arrays, preemption).
 #pragma once
 
 #include <functional>
@@ -14,6 +14,7 @@
 #include "coordination/controller_context.hpp"
 #include "coordination/election/election.hpp"
 #include "coordination/election/peer_versions.hpp"
+#include "coordination/leader/cancelled_work.hpp"
 #include "coordination/leader/change_log.hpp"
 #include "coordination/leader/dependencies.hpp"
 #include "coordination/leader/direct_commands.hpp"
@@ -29,6 +30,7 @@
 
 namespace robinford::coordination {
 
+/// How far a new leader is. docs/design.md, section "States".
 enum class LeaderPhase : std::uint8_t {
   kNone,         // not the leader
   kLoading,      // reads the ledger
@@ -37,81 +39,118 @@
 };
 const char* to_text(LeaderPhase phase);
 
+/// The leader's work: takes heartbeats, decides what runs where, and answers with commands. It joins parts
+/// that own their state (arrival history, queue order, placements, unreconciled machines, direct commands,
+/// machine records, cancelled work); what is left here are the decisions that need several of them.
+///
+/// All state belongs to one term of leadership: `begin` starts from the ledger of the state service, `end`
+/// forgets. Times are seconds on the steady clock unless a name ends in `_ms` (time of day). docs/design.md,
+/// section "States", names the state machines.
 class Scheduler {
  public:
+  /// How answers and direct commands leave the controller. Neither may call back before it returns.
   struct Actions {
+    /// Answers the heartbeat that came with `key`.
     std::function<void(std::uint64_t key, int status, std::vector<protocol::Command> commands)> answer;
     std::function<void(const DirectCall& call)> direct;
   };
+  /// The references must outlive the scheduler.
   Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions, Actions actions);
 
-  void begin();  // elected: forget everything, load the ledger
-  void end();    // not the leader any more
+  /// This controller was elected: forgets everything and loads the ledger.
+  void begin();
+  /// This controller is not the leader any more.
+  void end();
+  /// Does what is due by time.
   void tick();
+  /// Takes a worker's heartbeat; answers it now or, while the ledger is loading, later.
   void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
-  // A heartbeat that equals the one of `base_seq` but for its count. False: that one is not what the
-  // in-memory state stands on.
+  /// A heartbeat that equals the one of `base_seq` but for its count. Returns false, and does nothing, if the
+  /// in-memory state is not based on that one: then the whole heartbeat is needed.
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
+  /// The answer to the direct command `id`; `heartbeat` is null, and `status` 0, if there was none.
   void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
+  /// When this term began to place; 0 before the first time.
   double serving_since() const { return serving_since_; }
   ChangeLog& change_log() { return change_log_; }
   JobLookup& lookup() { return lookup_; }
-  // What memory says of jobs that wait for others is all that the records say.
+  /// What memory says of jobs that wait for others is all that the records say.
   bool dependencies_settled() const { return dependencies_.settled(); }
-  // Answers about jobs may come from this in-memory state.
+  /// Answers about jobs may come from this in-memory state.
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
+  /// May launch work: leads, is reconciled, and knows all announced cancellations.
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up();
   }
 
-  // A job was admitted, and is in the ledger.
+  /// A job was admitted, and is in the ledger.
   void job_added(bookkeeping::Job& job);
-  // The final record is durable (ours or another controller's): nothing of the job may start, all of it must
-  // go.
+  /// The final record is durable (ours or another controller's): nothing of the job may start, all of it must
+  /// go.
   void job_over(bookkeeping::Job& job, bookkeeping::FinalState state);
+  /// A user cancels the job: nothing of it starts from now on, and its final record is written.
   void cancel(bookkeeping::Job& job);
-  // All that the job needs is durably done, or something that it needs is durably cancelled.
+  /// All that the job needs is durably done, or something that it needs is durably cancelled.
   void dependencies_done(bookkeeping::Job& job);
   void dependency_cancelled(bookkeeping::Job& job);
-  // Another controller wrote about this job.
+  /// Another controller wrote about this job.
   void read_job(protocol::JobId id);
-  // Another controller made a cancellation durable.
+  /// Another controller made a cancellation durable.
   void on_cancelled_elsewhere(protocol::JobId id);
 
-  // The cloud lists no machine at all: with none on record either, nothing is to be waited for.
+  /// The cloud lists no machine at all: with none on record either, nothing is to be waited for.
   void cloud_is_empty() {
     if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
-  // The cloud confirmed that the machine is gone.
+  /// The cloud confirmed that the machine is gone.
   void machine_gone(bookkeeping::Machine& machine);
+  /// Takes the machine's capacity from the catalog, if its type is listed.
   void know_type(bookkeeping::Machine& machine);
+  /// When (steady) the machine's lease has expired for certain.
   double lease_over_at(const bookkeeping::Machine& machine) const;
+  /// The last moment (steady) at which any controller can have answered one of its heartbeats.
   double last_answer_at(const bookkeeping::Machine& machine) const;
+  /// Puts on record that a silent machine gets no answers, once it has been silent for long enough.
   void stop_answering(bookkeeping::Machine& machine);
-  // An unresponsive machine that is worth giving up.
+  /// An unresponsive machine that is worth giving up.
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
-  // Time until the job should be over: by its own due time or by its class's aim.
+  /// Time until the job should be over: by its own due time or by its class's aim.
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
-  // What the fleet asks of the arrival history.
+  /// What the fleet asks of the arrival history.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
+  /// See `coordination::has_gang`.
   static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
+  /// Stops all tasks on the machine, those with checkpoints in order.
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
+  /// Gangs that wait for capacity, as of the last round.
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
+  /// See `UnreconciledMachines::count`.
   std::size_t unreconciled_machines() const { return unreconciled_.count(); }
-  // What is wrong with the running accounts, by a count of everything; empty when nothing is. For tests.
+  /// Compares the running sums with a count of everything. Returns a description of the first difference,
+  /// empty if there is none. For tests.
   std::string audit();
 
  private:
+  enum class HeartbeatSource : std::uint8_t {
+    kWorker,        // sent by the worker itself: it has taken or dropped the answer to the one before
+    kDirectAnswer,  // the answer to a direct command: a launch in the last answer may still be on its way
+  };
+  enum class LaunchPath : std::uint8_t { kHeartbeatAnswer, kDirectCommand };
+  enum class StopMode : std::uint8_t {
+    kOrderly,  // tasks with checkpoints get time to save
+    kAtOnce,
+  };
+
   void arrived(const bookkeeping::Job& job);
   void set_phase(LeaderPhase phase);
   // ---- loading ----
@@ -122,15 +161,19 @@
   void load_failed(std::function<void()> again);
   void load_dependencies();
   void loaded();
+  void list_unreconciled_machines();
+  void settle_loaded_jobs();
+  void expect_old_cancelled_work_gone();
   bool reconciled();
   // ---- heartbeats ----
   bool entitled(std::uint64_t key, std::uint64_t fencing_token);
   void first_contact(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
   void record_contact(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
-  void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, bool direct);
+  void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat,
+                       HeartbeatSource source);
   struct HeartbeatContext {
     bool agent_restarted;  // of the machine, since its last heartbeat
-    bool direct;           // the answer to a direct command, not a heartbeat of its own
+    HeartbeatSource source;
   };
   void on_agent_restart(bookkeeping::Machine& machine);
   void take_machine_facts(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
@@ -147,6 +190,10 @@
   void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
   void task_exited(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
                    const protocol::TaskStatus& task);
+  void task_succeeded(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                      const bookkeeping::TaskRun& run);
+  void delay_next_attempt(bookkeeping::Machine& machine, bookkeeping::Job& job, protocol::ExitReason reason);
+  void record_result(bookkeeping::Job& job, std::uint32_t index);
   void adopt(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   void clear_later(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
@@ -185,7 +232,7 @@
   void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
   void check_gang(bookkeeping::Job& job);
-  void stop_gang(bookkeeping::Job& job, bool orderly, const char* why);
+  void stop_gang(bookkeeping::Job& job, StopMode mode, const char* why);
   void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace);
   void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
@@ -198,6 +245,10 @@
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
+  void live_record_read(protocol::JobId id, const bookkeeping::StateRead& read);
+  void update_from_record(bookkeeping::Job& job, const bookkeeping::StateRead& read);
+  void add_from_record(protocol::JobId id, const bookkeeping::StateRead& read);
+  void read_final_record(protocol::JobId id);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
@@ -206,12 +257,14 @@
   void push_final(bookkeeping::Job& job);
   void sweep_jobs();
   void watch_machines();
-  // Cancelled work may be on the machine: it has to prove in time that it is gone, or goes itself.
-  void expect_cancelled_work_gone(bookkeeping::Machine& machine, const bookkeeping::Job& job);
-  void check_cancelled_work_gone(bookkeeping::Machine& machine);
+  void detect_silence(bookkeeping::Machine& machine);
+  void return_if_cancelled_work_stays(bookkeeping::Machine& machine);
+  bool watch_direct_launches(bookkeeping::Machine& machine);
+  void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
   const char* why_waiting(const bookkeeping::Job& job) const;
-  void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run, bool direct);
+  void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
+                LaunchPath path);
 
   ControllerContext& context_;
   Election& election_;
@@ -221,13 +274,23 @@
   Dependencies dependencies_;
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
-  double began_ = 0, serving_since_ = 0, reconcile_until_ = 0, next_reconcile_check_ = 0;
-  double last_round_ = 0, next_watch_ = 0, next_sweep_ = 0, next_log_ = 0;
-  bool dirty_ = false;
+  double began_ = 0;              // this term
+  double serving_since_ = 0;
+  double reconcile_until_ = 0;
+  double next_reconcile_check_ = 0;
+  double last_round_ = 0;
+  double next_watch_ = 0;
+  double next_sweep_ = 0;
+  double next_log_ = 0;
+  bool round_wanted_ = false;          // something changed that may let a gang start
   bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
   bool first_launch_seen_ = false;
   std::uint64_t attempt_counter_ = 0;
-  std::vector<std::pair<std::uint64_t, protocol::Heartbeat>> early_;  // heartbeats that came while loading
+  struct EarlyHeartbeat {
+    std::uint64_t key;  // to answer it by
+    protocol::Heartbeat heartbeat;
+  };
+  std::vector<EarlyHeartbeat> early_;  // that came while the ledger was loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
@@ -237,10 +300,11 @@
   UnreconciledMachines unreconciled_;
   DirectCommands direct_;
   MachineRecordWriter machine_records_;
-  std::set<std::string> overdue_;            // machines that may hold cancelled work
-  std::set<protocol::JobId> reread_;         // a read of theirs went unanswered
-  std::map<protocol::JobId, bool> reading_;  // open reads; true: read again after it
-  std::set<std::string> claimed_;            // machines kept for a gang in the present round
+  CancelledWork cancelled_work_;
+  std::set<protocol::JobId> reread_;  // a read of theirs went unanswered
+  enum class OpenRead : std::uint8_t { kOnce, kReadAgain };
+  std::map<protocol::JobId, OpenRead> reading_;  // reads of live records that are open
+  std::set<std::string> claimed_;                // machines kept for a gang in the present round
   double next_tiers_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
   std::set<std::string> stopping_;           // machines with tasks that are to stop
