--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -21,7 +21,7 @@
 namespace robinford::coordination {
 
 /// Owns the parts of one controller, and hands each event to the part that it concerns. It does no I/O and
-/// reads no clock: every event brings the present moment, and leaves its actions in the outbox, which the
+/// reads no clock: every event brings a clock reading, and leaves its actions in the outbox, which the
 /// caller takes after each event. Not thread-safe.
 class Controller {
  public:
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -26,7 +26,7 @@
 
 namespace robinford::coordination {
 
-/// In-memory state, the clients of the services, the present moment and the actions of the present step. The
+/// In-memory state, the clients of the services, the clock reading and the actions of the present step. The
 /// controller owns it and sets `now` at the start of each step; its parts hold references and outlive none of
 /// it. Neither copied nor moved, since its members refer to one another.
 struct ControllerContext {
--- a/src/coordination/routing/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -17,7 +17,8 @@
 
 constexpr double kMsPerS = 1000;
 
-/// A probe is the steady moment of its sending in ms; the probing process reads it back from the echo.
+/// A probe is the time of its sending, by the steady clock in ms; the probing process reads it back from the
+/// echo.
 std::uint64_t probe_at(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * kMsPerS)); }
 double probe_sent_at(std::uint64_t probe) { return static_cast<double>(probe) / kMsPerS; }
 
@@ -94,7 +95,7 @@
   Peer& peer = peers_.at(message.member);
   if (peer.incarnation == message.incarnation) return peer;
   // What its earlier process announced in its last moments is not known from the new one: the state service
-  // has to show it. So the moments stay, and the chain begins anew.
+  // has to show it. So the times stay, and the chain begins anew.
   Peer successor;
   successor.incarnation = message.incarnation;
   successor.known_at = peer.known_at;
--- a/src/coordination/routing/cancellations.hpp
+++ b/src/coordination/routing/cancellations.hpp
@@ -15,18 +15,18 @@
 namespace robinford::coordination {
 
 /// Owns the announcements of this process, and for each other member what is known of the announcements of
-/// both sides. All moments are seconds of the steady clock.
+/// both sides. All times are seconds of the steady clock.
 ///
 /// Invariant: every cancellation that any controller announced before `known_up_to` is known to this one. Two
-/// proofs advance that moment: a read of the change log followed by a renewal of the leader key, and a probe
+/// proofs advance that time: a read of the change log followed by a renewal of the leader key, and a probe
 /// that every member echoed with all of its announcements delivered.
 class Cancellations {
  public:
   explicit Cancellations(const protocol::Settings& settings);
 
   // ---- announcements of this controller ----
-  /// A user is about to be told that the job is cancelled. True: for the first time by this process, so the
-  /// other controllers have to be told too.
+  /// A user is about to get the answer that the job is cancelled. True: for the first time by this process,
+  /// so the other controllers have to know it too.
   bool announce(protocol::JobId id);
   /// How many cancellations this process has announced.
   std::uint64_t announced() const { return log_.last_number(); }
@@ -56,7 +56,7 @@
   /// A renewal of the leader key that was sent at `sent` is answered.
   void renewed(double sent);
 
-  /// The moment up to which every announced cancellation is surely known here.
+  /// The time up to which every announced cancellation is surely known here.
   double known_up_to(double now) const;
   /// The same, by the change log alone.
   double read_up_to() const { return read_at_; }
@@ -79,7 +79,7 @@
     std::uint64_t announced = 0;     ///< how many cancellations it says that it has announced
     std::uint64_t known = 0;         ///< up to this number they are known here
     bool without_gap = false;        ///< ...and all that its earlier processes announced, too
-    double known_at = kNever;        ///< up to this moment all its announcements are known here
+    double known_at = kNever;        ///< up to this time all its announcements are known here
     std::uint64_t probe = 0;         ///< its last probe, to be echoed
     double vouched_at = kNever;      ///< when it was last vouched that all announcements here are known to it
     std::uint64_t acknowledged = 0;  ///< up to this number it knows the announcements of this process
@@ -107,7 +107,7 @@
   AnnouncementLog log_;
   std::map<std::string, Peer> peers_;
   double read_at_ = kNever;              ///< when the last complete read of the change log began
-  double state_proof_ = kNever;          ///< the moment that the state service proves
+  double state_proof_ = kNever;          ///< the time that the state service proves
   std::optional<Snapshot> reading_;      ///< of the read of the change log that is open
   std::optional<Snapshot> unconfirmed_;  ///< of a complete read that waits for a later renewal
 };
--- a/src/coordination/routing/forwarded_heartbeats.hpp
+++ b/src/coordination/routing/forwarded_heartbeats.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the leader heard last of the machines that send their heartbeats to this controller.
+/// The last heartbeats that the leader has, of the machines that send their heartbeats to this controller.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -54,7 +54,7 @@
   if (scheduler_.knows_all_jobs())
     serve(key);
   else
-    answer(key, 421, 0, "");
+    answer(key, kNotLeading, 0, "");
 }
 
 void RequestRouter::on_forwarded_heartbeat(const PeerMessage& message) {
@@ -64,23 +64,23 @@
   request.deadline = context_.now.steady + c::kParkS;
   const RequestKey key = pending_.add(std::move(request));
   const protocol::Heartbeat& heartbeat = message.heartbeat;
-  if (scheduler_.phase() == LeaderPhase::kNone) return refuse_heartbeat(key, 421);
+  if (scheduler_.phase() == LeaderPhase::kNone) return refuse_heartbeat(key, kNotLeading);
   if (message.kind == PeerKind::kHeartbeat) return scheduler_.heartbeat(key, heartbeat);
   if (!scheduler_.unchanged_heartbeat(key, heartbeat.machine, heartbeat.agent_epoch, heartbeat.seq,
                                       heartbeat.fencing_token, message.base_seq))
-    refuse_heartbeat(key, 409);
+    refuse_heartbeat(key, kNeededInFull);
 }
 
 void RequestRouter::on_commands(const PeerMessage& message) {
-  PendingRequest* request = pending_.find_forwarded(message.request, message.member);
+  const PendingRequest* request = pending_.find_forwarded(message.request, message.member);
   if (request == nullptr || !request->is_heartbeat()) return;
-  if (message.status == 421) {
+  if (message.status == kNotLeading) {
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == 409) {
+  if (message.status == kNeededInFull) {
     // The leader's in-memory state stands on another heartbeat than the one that was named to it.
-    request->in_full = true;
+    pending_.require_in_full(message.request);
     return route(message.request);
   }
   if (message.status == 200)
@@ -93,7 +93,7 @@
 void RequestRouter::on_forward_answer(const PeerMessage& message) {
   const PendingRequest* request = pending_.find_forwarded(message.request, message.member);
   if (request == nullptr || request->is_heartbeat()) return;
-  if (message.status == 421) {
+  if (message.status == kNotLeading) {
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
@@ -110,7 +110,7 @@
     context_.jobs.remember_final(reported->job, bookkeeping::FinalState::kDone);
   if (reported->state == n::kStateCancelled) {
     scheduler_.on_cancelled_elsewhere(reported->job);
-    // The leader may tell its users, and with this answer this controller does.
+    // The leader may give this answer, and with it this controller does too.
     announce_cancellation(reported->job);
   }
 }
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -109,10 +109,10 @@
   if (spec.dependencies.empty()) return done({});
   const auto& dependencies = spec.dependencies;
   if (std::find(dependencies.begin(), dependencies.end(), spec.id) != dependencies.end())
-    return done({Refusal{422, "it needs itself"}, false, {}});
+    return done(DependencyVerdict::refuse(422, "it needs itself"));
   // A leader of an older version would run it early.
   if (!leading() && !versions_.upgrade_complete())
-    return done({Refusal{503, "not every controller knows dependencies yet"}, false, {}});
+    return done(DependencyVerdict::refuse(503, "not every controller knows dependencies yet"));
   read_dependencies(spec, done);
 }
 
--- a/src/coordination/routing/job_admission.hpp
+++ b/src/coordination/routing/job_admission.hpp
@@ -43,6 +43,10 @@
   };
   /// Whether a job's dependencies let it be admitted.
   struct DependencyVerdict {
+    static DependencyVerdict refuse(int status, const std::string& reason) {
+      return {Refusal{status, reason}, false, {}};
+    }
+
     std::optional<Refusal> refusal;
     bool any_cancelled = false;
     std::vector<protocol::JobId> unfinished;  ///< those that are not known to be done
--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -75,7 +75,7 @@
       if (*state == FinalState::kDone) continue;
       return finish_as_cancelled(walk);
     }
-    // A user's question must not cost the state service any number of reads.
+    // A user's poll must not cost the state service any number of reads.
     if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
     return own_records(next, [this, walk](const Known& known) { on_dependency_read(walk, known); });
   }
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -45,7 +45,7 @@
 
 // The leader's own state of the job is the answer, once no other controller can have announced anything newer
 // to a user: at once while all of them are in touch, else after a read of the change log, which all waiting
-// questions share. One read of the record for each question exhausted the state service's limit as soon as
+// polls share. One read of the record for each poll exhausted the state service's limit as soon as
 // one controller was away.
 void JobRequests::answer_as_leader(JobId id, const UserReply& reply) {
   if (context_.cancellations.current(context_.now.steady)) return answer_from_ledger(id, reply);
@@ -65,7 +65,7 @@
 
 void JobRequests::answer_from_records(JobId id, const UserReply& reply) {
   lookup_.state_with_dependencies(id, [this, id, reply](const JobLookup::Known& known) {
-    // Its record, read since the question came, says that it is not cancelled; the leader knows more of its
+    // Its record, read since the poll came, says that it is not cancelled; the leader knows more of its
     // tasks.
     if (known.what == JobLookup::Known::What::kLive && leading())
       if (const Job* job = context_.jobs.find(id)) return reply(ledger_answer(*job));
--- a/src/coordination/routing/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -19,7 +19,7 @@
 
 /// Carries out users' requests, at the leader from its ledger, and at any other controller on the records in
 /// the state service. Each reply is called once, at the latest when the state service answers or is given up;
-/// what a user hears is durable, and nothing older than what any other controller may have told its users:
+/// an answer is durable, and never older than one that another controller may have given:
 /// docs/design.md, "Cancellations".
 class JobRequests {
  public:
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -53,7 +53,7 @@
   return best;
 }
 
-bool PeerTable::any_heard(double now) const {
+bool PeerTable::any_in_contact(double now) const {
   return std::any_of(peers_.begin(), peers_.end(),
                      [now](const auto& entry) { return silence(entry.second, now) < c::kPeerFreshS; });
 }
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -11,7 +11,7 @@
 
 namespace robinford::coordination {
 
-/// Owns the last known state of each other controller. All moments are seconds of the steady clock. A peer is
+/// Owns the last known state of each other controller. All times are seconds of the steady clock. A peer is
 /// fresh while its last status is no older than `kPeerFreshS`; an older status proves nothing.
 class PeerTable {
  public:
@@ -48,8 +48,8 @@
 
   /// The fresh, linked peer that leads with the highest term; empty if there is none.
   std::string leader(double now) const;
-  /// Whether any peer was heard lately, linked or not.
-  bool any_heard(double now) const;
+  /// Whether any peer is fresh, linked or not.
+  bool any_in_contact(double now) const;
   /// Whether a linked leader serves users at present.
   bool has_ready_leader(double now) const;
   /// Whether any fresh peer reaches the state service, and so could serve users.
@@ -61,7 +61,7 @@
 
  private:
   static constexpr double kNever = -1e9;
-  /// Seconds since the peer was heard.
+  /// Seconds since the last contact with the peer.
   static double silence(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
--- a/src/coordination/routing/pending_requests.cpp
+++ b/src/coordination/routing/pending_requests.cpp
@@ -14,16 +14,11 @@
   return key;
 }
 
-PendingRequest* PendingRequests::find(RequestKey key) {
+const PendingRequest* PendingRequests::find_forwarded(RequestKey key, const std::string& member) const {
   const auto found = requests_.find(key);
-  return found == requests_.end() ? nullptr : &found->second;
-}
-
-PendingRequest* PendingRequests::find_forwarded(RequestKey key, const std::string& member) {
-  PendingRequest* request = find(key);
-  if (request == nullptr || request->state != State::kForwarded || request->forwarded_to != member)
-    return nullptr;
-  return request;
+  if (found == requests_.end()) return nullptr;
+  const PendingRequest& request = found->second;
+  return request.state == State::kForwarded && request.forwarded_to == member ? &request : nullptr;
 }
 
 void PendingRequests::change_state(PendingRequest& request, State state) {
@@ -34,12 +29,12 @@
   if (state == State::kForwarded) ++forwarded_;
 }
 
-void PendingRequests::settle_here(RequestKey key) { change_state(at(key), State::kLocal); }
+void PendingRequests::settle_here(RequestKey key) { change_state(requests_.at(key), State::kLocal); }
 
-void PendingRequests::park(RequestKey key) { change_state(at(key), State::kParked); }
+void PendingRequests::park(RequestKey key) { change_state(requests_.at(key), State::kParked); }
 
 void PendingRequests::forward(RequestKey key, const std::string& member, double forward_deadline) {
-  PendingRequest& request = at(key);
+  PendingRequest& request = requests_.at(key);
   change_state(request, State::kForwarded);
   request.forwarded_to = member;
   request.forward_deadline = forward_deadline;
--- a/src/coordination/routing/pending_requests.hpp
+++ b/src/coordination/routing/pending_requests.hpp
@@ -6,6 +6,7 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "protocol/peer_codec.hpp"
@@ -19,7 +20,7 @@
 struct PendingRequest {
   enum class Kind : std::uint8_t {
     kHeartbeat,
-    kPoll,    ///< a user's question about a job
+    kPoll,    ///< a user's query of a job's state
     kChange,  ///< a submission or cancellation
   };
   enum class State : std::uint8_t {
@@ -38,7 +39,7 @@
   std::string target;  ///< path, without a query
   std::string body;
   protocol::Heartbeat heartbeat;  ///< of heartbeats that came here by HTTP, read and checked
-  bool in_full = false;           ///< the leader asked for the heartbeat in full
+  bool in_full = false;           ///< the leader needs the heartbeat in full
   std::uint64_t token = 0;        ///< the HTTP connection, unless it came from a peer
   std::optional<PeerOrigin> peer;
   double deadline = 0;  ///< steady s: answered with 503 from then on
@@ -69,11 +70,10 @@
   explicit PendingRequests(RequestKey first) : next_(first) {}
 
   RequestKey add(PendingRequest request);
-  /// Null: answered already.
-  PendingRequest* find(RequestKey key);
-  PendingRequest& at(RequestKey key) { return requests_.at(key); }
+  /// The request, which must not be answered yet.
+  const PendingRequest& at(RequestKey key) const { return requests_.at(key); }
   /// The request, if it waits for that member's answer; otherwise null, and the answer came too late.
-  PendingRequest* find_forwarded(RequestKey key, const std::string& member);
+  const PendingRequest* find_forwarded(RequestKey key, const std::string& member) const;
 
   /// This controller answers the request itself.
   void settle_here(RequestKey key);
@@ -81,6 +81,10 @@
   void park(RequestKey key);
   /// The request waits for `member`, until `forward_deadline` in steady seconds.
   void forward(RequestKey key, const std::string& member, double forward_deadline);
+  /// The leader does not know the heartbeat that a forwarded one refers to.
+  void require_in_full(RequestKey key) { requests_.at(key).in_full = true; }
+  /// Moves the heartbeat out of a request that this controller answers.
+  protocol::Heartbeat take_heartbeat(RequestKey key) { return std::move(requests_.at(key).heartbeat); }
   /// Takes the request out, to be answered; nothing if it was answered before.
   std::optional<PendingRequest> remove(RequestKey key);
 
@@ -93,7 +97,7 @@
   }
   std::vector<RequestKey> parked_keys() const;
   std::vector<RequestKey> keys_forwarded_to(const std::string& member) const;
-  /// Requests that are overdue at steady moment `now`, in the order in which they came.
+  /// Requests that are overdue at `now`, in steady seconds, in the order in which they came.
   std::vector<RequestKey> overdue_keys(double now) const;
   /// The same of one request; kNo if it was answered.
   Overdue overdue(RequestKey key, double now) const;
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -82,7 +82,7 @@
 // elsewhere.
 bool RequestRouter::leader_may_appear() const {
   const double now = context_.now.steady;
-  return context_.state.reachable(now) || peers_.any_heard(now);
+  return context_.state.reachable(now) || peers_.any_in_contact(now);
 }
 
 void RequestRouter::route(RequestKey key) {
@@ -101,7 +101,7 @@
 
 // A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
 void RequestRouter::park(RequestKey key) {
-  if (!leader_may_appear()) return refuse_heartbeat(key, 421);
+  if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
   if (pending_.parked() >= context_.per_machine(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
   pending_.park(key);
 }
@@ -140,11 +140,8 @@
 
 void RequestRouter::serve(RequestKey key) {
   pending_.settle_here(key);
-  PendingRequest& request = pending_.at(key);
-  if (request.is_heartbeat()) {
-    const auto heartbeat = std::move(request.heartbeat);
-    return scheduler_.heartbeat(key, heartbeat);
-  }
+  const PendingRequest& request = pending_.at(key);
+  if (request.is_heartbeat()) return scheduler_.heartbeat(key, pending_.take_heartbeat(key));
   const auto route = parse_route(request.method, request.target);
   const auto reply = [this, key](const UserAnswer& user_answer) { answer_user(key, user_answer); };
   if (route.has_value()) {
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -19,6 +19,13 @@
 
 namespace robinford::coordination {
 
+/// Statuses by which a controller declines a request, besides those that its sender gets in the end.
+/// @{
+constexpr int kNotLeading = 421;  ///< it does not lead, and no leader can be reached: to be sent elsewhere
+constexpr int kNeededInFull =
+    409;  ///< to another controller: the heartbeat that this one refers to is not known
+/// @}
+
 /// Owns the pending requests, and gives each exactly one answer before its deadline. A leader answers all
 /// that reach it. Any other controller forwards to the leader; users' requests that no leader takes are
 /// settled here on the state service, and heartbeats wait for a leader. Only a leader serves what others
--- a/src/coordination/routing/user_answer.hpp
+++ b/src/coordination/routing/user_answer.hpp
@@ -33,7 +33,7 @@
 UserAnswer final_state_answer(protocol::JobId id, bookkeeping::FinalState state);
 /// The state of a job in the leader's ledger.
 UserAnswer ledger_answer(const bookkeeping::Job& job);
-/// The state of a job as it was looked up at steady moment `now`; `if_never` if it was never accepted.
+/// The state of a job as it was looked up at `now`, in steady seconds; `if_never` if it was never accepted.
 UserAnswer lookup_answer(protocol::JobId id, const JobLookup::Known& known, double now,
                          const UserAnswer& if_never);
 
