--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "constants.hpp"
-#include "coordination/routing/request_route.hpp"
+#include "protocol/names.hpp"
 
 namespace robinford::coordination {
 namespace c = constants;
@@ -144,14 +144,10 @@
   const std::string path = without_query(request.target);
   const auto route = parse_route(request.method, path);
   if (!route) {
-    switch (route.error()) {
-      case RouteError::kNoSuchPath:
-        return refuse(request, 404, "no such path");
-      case RouteError::kMethodNotAllowed:
-        return refuse(request, 405, "method not allowed");
-      case RouteError::kNoSuchJob:
-        return refuse(request, 404, "no such job");
-    }
+    refuse_route(request, route.error());
+    // After all other refusals the state writer waits for the next event.
+    if (route.error() == RouteError::kUnknownPath || path == names::kPathReady) finish_step();
+    return;
   }
   switch (route->target) {
     case RequestTarget::kReadiness:
@@ -182,6 +178,18 @@
   context_.out.replies.push_back({request.token, status, retry_after_s, protocol::error_json(reason), false});
 }
 
+void Controller::refuse_route(const protocol::HttpRequest& request, RouteError error) {
+  switch (error) {
+    case RouteError::kUnknownPath:
+    case RouteError::kUnknownJobPath:
+      return refuse(request, 404, "no such path");
+    case RouteError::kMethodNotAllowed:
+      return refuse(request, 405, "method not allowed");
+    case RouteError::kNoSuchJob:
+      return refuse(request, 404, "no such job");
+  }
+}
+
 void Controller::reply_readiness(const protocol::HttpRequest& request) {
   if (can_serve())
     reply(request, 200, "{}");
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -14,6 +14,7 @@
 #include "coordination/routing/job_requests.hpp"
 #include "coordination/routing/peer_frames.hpp"
 #include "coordination/routing/peer_table.hpp"
+#include "coordination/routing/request_route.hpp"
 #include "coordination/routing/request_router.hpp"
 #include "coordination/scheduling/scheduler.hpp"
 #include "protocol/peer_codec.hpp"
@@ -68,6 +69,7 @@
   // ---- requests ----
   void reply(const protocol::HttpRequest& request, int status, std::string body);
   void refuse(const protocol::HttpRequest& request, int status, const std::string& reason);
+  void refuse_route(const protocol::HttpRequest& request, RouteError error);
   void reply_readiness(const protocol::HttpRequest& request);
   void reply_metrics(const protocol::HttpRequest& request);
   void handle_heartbeat(const protocol::HttpRequest& request);
--- a/src/coordination/routing/request_route.cpp
+++ b/src/coordination/routing/request_route.cpp
@@ -2,8 +2,6 @@
 /// Implementation of parse_route.
 #include "coordination/routing/request_route.hpp"
 
-#include <optional>
-
 #include "protocol/names.hpp"
 
 namespace robinford::coordination {
@@ -17,20 +15,20 @@
   std::string job_text;
 };
 
-std::optional<PathParts> split_path(const std::string& path) {
+boost::system::result<PathParts, RouteError> split_path(const std::string& path) {
   const std::string jobs = n::kPathJobs;
   const std::string cancel = n::kPathCancel;
   if (path == n::kPathReady) return PathParts{RequestTarget::kReadiness, {}};
   if (path == n::kPathMetrics) return PathParts{RequestTarget::kMetrics, {}};
   if (path == n::kPathHeartbeat) return PathParts{RequestTarget::kHeartbeat, {}};
   if (path == jobs) return PathParts{RequestTarget::kSubmission, {}};
-  if (!path.starts_with(jobs + "/")) return std::nullopt;
+  if (!path.starts_with(jobs + "/")) return RouteError::kUnknownPath;
   PathParts parts{RequestTarget::kPoll, path.substr(jobs.size() + 1)};
   if (parts.job_text.size() > cancel.size() && parts.job_text.ends_with(cancel)) {
     parts.target = RequestTarget::kCancellation;
     parts.job_text.resize(parts.job_text.size() - cancel.size());
   }
-  if (parts.job_text.find('/') != std::string::npos) return std::nullopt;
+  if (parts.job_text.find('/') != std::string::npos) return RouteError::kUnknownJobPath;
   return parts;
 }
 
@@ -53,7 +51,7 @@
 boost::system::result<RequestRoute, RouteError> parse_route(const std::string& method,
                                                             const std::string& path) {
   const auto parts = split_path(path);
-  if (!parts) return RouteError::kNoSuchPath;
+  if (!parts) return parts.error();
   if (method != method_of(parts->target)) return RouteError::kMethodNotAllowed;
   RequestRoute route{parts->target, 0};
   if (route.target == RequestTarget::kPoll || route.target == RequestTarget::kCancellation) {
--- a/src/coordination/routing/request_route.hpp
+++ b/src/coordination/routing/request_route.hpp
@@ -21,7 +21,12 @@
 };
 
 /// Why a request asks for nothing that the HTTP interface offers.
-enum class RouteError : std::uint8_t { kNoSuchPath, kMethodNotAllowed, kNoSuchJob };
+enum class RouteError : std::uint8_t {
+  kUnknownPath,       ///< the path belongs to none of the targets
+  kUnknownJobPath,    ///< it is below the jobs' path, and names neither a job nor a job's cancellation
+  kMethodNotAllowed,  ///< the target has another method
+  kNoSuchJob,         ///< what stands for the job is no job id
+};
 
 /// A request's target, with the job that it names.
 struct RequestRoute {
