--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -11,10 +11,10 @@
 #include "coordination/fleet/fleet.hpp"
 #include "coordination/quota_leases.hpp"
 #include "coordination/routing/direct_calls.hpp"
+#include "coordination/routing/http_requests.hpp"
 #include "coordination/routing/job_requests.hpp"
 #include "coordination/routing/peer_frames.hpp"
 #include "coordination/routing/peer_table.hpp"
-#include "coordination/routing/request_route.hpp"
 #include "coordination/routing/request_router.hpp"
 #include "coordination/scheduling/scheduler.hpp"
 #include "protocol/peer_codec.hpp"
@@ -66,16 +66,6 @@
   void on_elected();
   void on_leadership_lost();
   void on_degraded(bool degraded);
-  // ---- requests ----
-  void reply(const protocol::HttpRequest& request, int status, std::string body);
-  void refuse(const protocol::HttpRequest& request, int status, const std::string& reason);
-  void refuse_route(const protocol::HttpRequest& request, RouteError error);
-  void reply_readiness(const protocol::HttpRequest& request);
-  void reply_metrics(const protocol::HttpRequest& request);
-  void handle_heartbeat(const protocol::HttpRequest& request);
-  void handle_user_request(const protocol::HttpRequest& request, const std::string& path,
-                           PendingRequest::Kind kind);
-  bool can_serve() const;
   // ---- other controllers ----
   FrameOutcome on_message(const protocol::PeerMessage& message);
   void on_status(const protocol::PeerMessage& status);
@@ -98,6 +88,7 @@
   JobRequests job_requests_;
   DirectCalls direct_calls_;
   RequestRouter router_;
+  HttpRequests http_requests_;
   double next_status_broadcast_ = 0;  ///< steady s
   bool ending_ = false;
 };
--- /dev/null
+++ b/src/coordination/routing/http_requests.hpp
@@ -0,0 +1,62 @@
+/// @file
+/// Requests of workers and users, as they come by HTTP.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "coordination/controller_context.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/quota_leases.hpp"
+#include "coordination/routing/peer_table.hpp"
+#include "coordination/routing/request_route.hpp"
+#include "coordination/routing/request_router.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+
+namespace robinford::coordination {
+
+/// Checks HTTP requests and hands them to the router; readiness, metrics and refusals are answered at once.
+/// It owns nothing but whether this process still serves.
+class HttpRequests {
+ public:
+  /// Whether the request left the step something to finish.
+  enum class Handled : std::uint8_t {
+    kDone,
+    kRefused,  ///< answered at once: the state writer waits for the next event
+  };
+
+  HttpRequests(ControllerContext& context, const Election& election, const Scheduler& scheduler,
+               QuotaLeases& quota_leases, const PeerTable& peers, RequestRouter& router)
+      : context_(context),
+        election_(election),
+        scheduler_(scheduler),
+        quota_leases_(quota_leases),
+        peers_(peers),
+        router_(router) {}
+
+  /// Replies to the request in this step, or leaves it to the router.
+  Handled handle(const protocol::HttpRequest& request);
+  /// The process ends soon: it is not ready any more.
+  void stop_serving() { ending_ = true; }
+
+ private:
+  void reply(const protocol::HttpRequest& request, int status, std::string body);
+  void refuse(const protocol::HttpRequest& request, int status, const std::string& reason);
+  void refuse_route(const protocol::HttpRequest& request, RouteError error);
+  void reply_readiness(const protocol::HttpRequest& request);
+  void reply_metrics(const protocol::HttpRequest& request);
+  Handled handle_heartbeat(const protocol::HttpRequest& request);
+  Handled handle_user_request(const protocol::HttpRequest& request, const std::string& path,
+                              PendingRequest::Kind kind);
+  bool can_serve() const;
+
+  ControllerContext& context_;
+  const Election& election_;
+  const Scheduler& scheduler_;
+  QuotaLeases& quota_leases_;
+  const PeerTable& peers_;
+  RequestRouter& router_;
+  bool ending_ = false;
+};
+
+}  // namespace robinford::coordination
