--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -11,6 +11,7 @@
 #include "coordination/fleet/fleet.hpp"
 #include "coordination/quota_leases.hpp"
 #include "coordination/routing/direct_calls.hpp"
+#include "coordination/routing/http_requests.hpp"
 #include "coordination/routing/job_requests.hpp"
 #include "coordination/routing/peer_frames.hpp"
 #include "coordination/routing/peer_table.hpp"
@@ -21,7 +22,7 @@
 namespace robinford::coordination {
 
 /// Owns the parts of one controller, and hands each event to the part that it concerns. It does no I/O and
-/// reads no clock: every event brings the present moment, and leaves its actions in the outbox, which the
+/// reads no clock: every event brings a clock reading, and leaves its actions in the outbox, which the
 /// caller takes after each event. Not thread-safe.
 class Controller {
  public:
@@ -65,15 +66,6 @@
   void on_elected();
   void on_leadership_lost();
   void on_degraded(bool degraded);
-  // ---- requests ----
-  void reply(const protocol::HttpRequest& request, int status, std::string body);
-  void refuse(const protocol::HttpRequest& request, int status, const std::string& reason);
-  void reply_readiness(const protocol::HttpRequest& request);
-  void reply_metrics(const protocol::HttpRequest& request);
-  void handle_heartbeat(const protocol::HttpRequest& request);
-  void handle_user_request(const protocol::HttpRequest& request, const std::string& path,
-                           PendingRequest::Kind kind);
-  bool can_serve() const;
   // ---- other controllers ----
   FrameOutcome on_message(const protocol::PeerMessage& message);
   void on_status(const protocol::PeerMessage& status);
@@ -96,6 +88,7 @@
   JobRequests job_requests_;
   DirectCalls direct_calls_;
   RequestRouter router_;
+  HttpRequests http_requests_;
   double next_status_broadcast_ = 0;  ///< steady s
   bool ending_ = false;
 };
