--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -14,6 +14,7 @@
 inline constexpr double kThousandths = 1000;
 /// Largest amount in a message: far above any limit, and no sum of them overflows.
 inline constexpr std::uint64_t kThousandthsMax = 1'000'000'000'000'000;
+/// Milliseconds in a second.
 inline constexpr double kMsPerS = 1000;
 /// Seconds between two renewals of a lease.
 inline constexpr double kLeaseRenewS = 1.0;
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -15,12 +15,13 @@
 
 /// What this controller is in the election.
 enum class Role : std::uint8_t {
-  kDiscovering,  // reads who leads
-  kFollowing,    // another controller leads; watches the leader key
-  kCampaigning,  // takes a lease and writes the leader key
-  kLeading,      // holds the leader key, and its lease is valid
-  kDegraded,     // can't renew the lease nor learn why: answers heartbeats, changes nothing
+  kDiscovering,  ///< reads who leads
+  kFollowing,    ///< another controller leads; watches the leader key
+  kCampaigning,  ///< takes a lease and writes the leader key
+  kLeading,      ///< holds the leader key, and its lease is valid
+  kDegraded,     ///< can't renew the lease nor learn why: answers heartbeats, changes nothing
 };
+/// The role as log lines name it.
 const char* to_text(Role role);
 
 /// The state machine of one controller in the election; `become` is the one place where its role changes.
@@ -36,12 +37,15 @@
  public:
   /// Called from within `become`, after the role has changed.
   struct Events {
-    std::function<void()> elected;
-    std::function<void()> lost;
-    std::function<void(bool degraded)> degraded;  // to or from the degraded role, without an end of the term
+    std::function<void()> elected;  ///< a term of this controller begins
+    std::function<void()> lost;     ///< it has ended
+    std::function<void(bool degraded)>
+        degraded;  ///< to or from the degraded role, without an end of the term
   };
+  /// `context` has to outlive it.
   Election(ControllerContext& context, Events events);
 
+  /// Sends the call that is due in the present role.
   void tick();
   /// A status of another controller arrived.
   void on_status(const protocol::PeerMessage& status);
@@ -52,6 +56,7 @@
   /// Hands leadership over at a clean end of the process.
   void resign();
 
+  /// The present role.
   Role role() const { return role_; }
   /// Of the own leadership, or the highest one seen.
   std::uint64_t term() const { return term_; }
@@ -85,11 +90,11 @@
  private:
   /// One attempt to lead. The key and the term record are written in one transaction, conditional on both.
   struct Campaign {
-    std::uint64_t key_mod_revision = 0;   // that the leader key must have; 0: it must not exist
-    std::uint64_t term_mod_revision = 0;  // that the term record must have
-    std::uint64_t term = 0;               // to begin
+    std::uint64_t key_mod_revision = 0;   ///< that the leader key must have; 0: it must not exist
+    std::uint64_t term_mod_revision = 0;  ///< that the term record must have
+    std::uint64_t term = 0;               ///< to begin
     std::uint64_t lease = 0;
-    double lease_sent_at = 0;  // steady time at which the lease was asked for: it began no earlier
+    double lease_sent_at = 0;  ///< steady time at which the lease was asked for: it began no earlier
   };
 
   bool leads(Role role) const { return role == Role::kLeading || role == Role::kDegraded; }
@@ -119,16 +124,16 @@
   Events events_;
   FormerLeaders former_leaders_;
   Role role_ = Role::kDiscovering;
-  std::uint64_t role_changes_ = 0;  // so that answers to calls of an earlier role are known as such
-  bool call_in_flight_ = false;     // of the present role
-  double next_try_ = 0;             // steady
+  std::uint64_t role_changes_ = 0;  ///< so that answers to calls of an earlier role are known as such
+  bool call_in_flight_ = false;     ///< of the present role
+  double next_try_ = 0;             ///< steady
   std::string leader_;
   std::uint64_t term_ = 0;
   std::uint64_t mod_revision_ = 0;
   std::uint64_t lease_ = 0;
-  double valid_until_ = -1e9;    // steady
-  double last_renewed_ = -1e9;   // steady
-  double leading_since_ = -1e9;  // steady, without a break
+  double valid_until_ = -1e9;    ///< steady
+  double last_renewed_ = -1e9;   ///< steady
+  double leading_since_ = -1e9;  ///< steady, without a break
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -17,6 +17,7 @@
 /// term or was started again.
 class FormerLeaders {
  public:
+  /// Nothing is known yet. `context` has to outlive it.
   explicit FormerLeaders(const ControllerContext& context) : context_(context) {}
 
   /// The term record that this controller is about to replace.
@@ -41,11 +42,11 @@
   const ControllerContext& context_;
   std::string last_member_;
   std::uint64_t last_incarnation_ = 0;
-  double last_answer_s_ = 0;              // how long the last leader may answer
-  std::int64_t before_last_wall_ms_ = 0;  // when all leaders before the last one have stopped
+  double last_answer_s_ = 0;              ///< how long the last leader may answer
+  std::int64_t before_last_wall_ms_ = 0;  ///< when all leaders before the last one have stopped
   std::uint64_t records_since_ = 0;
-  double last_stopped_at_ = -1e9;         // steady
-  double before_last_stopped_at_ = -1e9;  // steady
+  double last_stopped_at_ = -1e9;         ///< steady
+  double before_last_stopped_at_ = -1e9;  ///< steady
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -12,10 +12,11 @@
 
 /// The process that leads, and its term, which is the fencing token of its commands.
 struct LeaderRecord {
-  std::string member;
-  std::uint64_t incarnation = 0;
-  std::uint64_t term = 0;
+  std::string member;             ///< that leads
+  std::uint64_t incarnation = 0;  ///< of its process
+  std::uint64_t term = 0;         ///< that it leads in
 
+  /// The record as it stands in the key-value store.
   boost::json::object encode() const;
   /// Missing fields are left empty: the record was written by another version, or there is none.
   static LeaderRecord decode(const boost::json::value& value);
@@ -23,9 +24,9 @@
 
 /// What a leader leaves for its successors about itself and all leaders before it.
 struct TermRecord {
-  std::string member;
-  std::uint64_t incarnation = 0;
-  std::uint64_t term = 0;
+  std::string member;             ///< that led
+  std::uint64_t incarnation = 0;  ///< of its process
+  std::uint64_t term = 0;         ///< that it led in
   /// First term whose leader and all later ones put on record which machines they do not answer; 0: unknown.
   std::uint64_t records_since = 0;
   /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was none.
@@ -34,7 +35,9 @@
   /// that did not say it.
   std::optional<std::int64_t> answer_ms;
 
+  /// The record as it stands in the key-value store.
   boost::json::object encode() const;
+  /// Missing fields are left empty, as in records of earlier versions.
   static TermRecord decode(const boost::json::value& value);
 };
 
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -15,8 +15,10 @@
 /// sent no frame that they do not know. A member whose present process has not registered counts as old.
 class PeerVersions {
  public:
+  /// Knows the members that the settings name. `context` has to outlive it.
   explicit PeerVersions(ControllerContext& context);
 
+  /// Registers this process, then reads the registry until every present process is known.
   void tick();
   /// The process from which the member's last status came.
   void observe(const std::string& member, std::uint64_t incarnation);
@@ -31,9 +33,9 @@
 
  private:
   struct Member {
-    std::uint64_t registered = 0;  // incarnation of the process that registered last
-    std::uint64_t present = 0;     // incarnation seen last; 0: none yet
-    bool quota_leases = false;     // of the registered process
+    std::uint64_t registered = 0;  ///< incarnation of the process that registered last
+    std::uint64_t present = 0;     ///< incarnation seen last; 0: none yet
+    bool quota_leases = false;     ///< of the registered process
   };
   void register_self();
   void write_registration(std::uint64_t mod_revision);
@@ -42,12 +44,12 @@
   bool all_present_are_registered() const;
 
   ControllerContext& context_;
-  std::map<std::string, Member> members_;  // all others that the settings name
+  std::map<std::string, Member> members_;  ///< all others that the settings name
   bool offers_quota_leases_ = false;
   bool registered_ = false;
   bool call_in_flight_ = false;
   bool complete_ = false;
-  double next_look_ = 0;  // steady
+  double next_look_ = 0;  ///< steady
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/boot_times.hpp
+++ b/src/coordination/fleet/boot_times.hpp
@@ -20,7 +20,7 @@
   double late_after(const protocol::MachineType& type) const;
 
  private:
-  std::map<std::string, std::deque<double>> recent_;  // by type, oldest first
+  std::map<std::string, std::deque<double>> recent_;  ///< by type, oldest first
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/capacity_pool.hpp
+++ b/src/coordination/fleet/capacity_pool.hpp
@@ -2,19 +2,14 @@
 /// The unit in which the cloud offers machines.
 #pragma once
 
-#include <compare>
 #include <string>
 
+#include "coordination/scheduling/machine_kind.hpp"
+
 namespace robinford::coordination {
 
-/// Machines of one type, in one zone, either spot or ordinary. Price and availability belong to a pool.
-struct CapacityPool {
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons.
-  auto operator<=>(const CapacityPool&) const = default;
-};
+/// Price and availability belong to a machine kind: machines of one type, in one zone, spot or ordinary.
+using CapacityPool = MachineKind;
 
 /// The pool as log lines name it, for example `g8 a spot`.
 inline std::string to_text(const CapacityPool& pool) {
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -17,28 +17,31 @@
 /// Machines asked of one pool. A request without an answer is repeated under its name, under which the cloud
 /// provisions only once.
 struct ProvisioningRequest {
-  std::string name;
-  CapacityPool pool;
-  int count = 0;
-  bool in_flight = false;
-  double next_try_s = 0;  // steady time
+  std::string name;        ///< unique over all terms
+  CapacityPool pool;       ///< of which machines are asked
+  int count = 0;           ///< machines
+  bool in_flight = false;  ///< sent, and not answered
+  double next_try_s = 0;   ///< steady time
 };
 
 /// Which machines in the state kReturning a return call may name.
 enum class ReturnScope : std::uint8_t {
   kAll,
-  kCancelledWorkOnly,  // those that may still run cancelled work, for a leader that may change nothing else
+  kCancelledWorkOnly,  ///< those that may still run cancelled work, for a leader that may change nothing else
 };
 
 /// Owns the budget of cloud calls, the provisioning requests and the pools that lately refused one. What the
 /// answers show goes into the machine ledger. Answers that arrive after `end` are dropped.
 class CloudClient {
  public:
+  /// The arguments have to outlive it.
   CloudClient(ControllerContext& context, const Election& election, Scheduler& scheduler);
 
   /// A new term of leadership: nothing is in flight.
   void begin();
+  /// The term has ended: answers from now on are dropped.
   void end();
+  /// Adds to the budget what has accrued up to now.
   void refill_budget() { budget_.refill(context_.now.steady); }
   /// Sends the call that is due, if the budget covers one: the catalog first, then provisioning requests,
   /// then the machine list.
@@ -46,7 +49,9 @@
 
   /// Queues requests for `count` machines, each within the cloud's limit for one request.
   void provision(const CapacityPool& pool, int count);
+  /// A request for the pool waits or is in flight.
   bool has_request(const CapacityPool& pool) const;
+  /// All requests without a final answer.
   const std::vector<ProvisioningRequest>& requests() const { return requests_; }
   /// The pool did not refuse a request lately.
   bool may_have_capacity(const CapacityPool& pool) const;
@@ -71,10 +76,10 @@
   const Election& election_;
   Scheduler& scheduler_;
   bookkeeping::TokenBucket budget_;
-  std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
+  std::uint64_t generation_ = 0;  ///< of leadership, so that late answers are known as such
   std::uint64_t request_counter_ = 0;
   std::vector<ProvisioningRequest> requests_;
-  std::map<CapacityPool, double> refused_until_;  // steady time
+  std::map<CapacityPool, double> refused_until_;  ///< steady time
   double next_return_ = 0;
   double next_catalog_ = 0;
   double next_list_ = 0;
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -16,11 +16,13 @@
 /// ScaleOut, ScaleIn. Does nothing unless this controller leads.
 class Fleet {
  public:
+  /// The arguments have to outlive it.
   Fleet(ControllerContext& context, Election& election, Scheduler& scheduler);
   /// This controller was elected.
   void begin();
   /// It does not lead any more.
   void end();
+  /// Reviews the fleet when that is due, and sends the cloud call that is due.
   void tick();
 
  private:
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -11,6 +11,7 @@
 /// return them are made by CloudClient.
 class ScaleIn {
  public:
+  /// The arguments have to outlive it.
   ScaleIn(ControllerContext& context, const Scheduler& scheduler);
 
   /// More capacity than the arrays need: the dearest machines take no new array tasks, so that they become
@@ -24,8 +25,8 @@
  private:
   /// What one pass over the fleet shows about all of it.
   struct FleetView {
-    bool network_fault = false;  // so many machines are unresponsive that the network is the likelier cause
-    bool few_unreconciled = false;  // few enough to be given up while jobs wait for proof of what they run
+    bool network_fault = false;  ///< so many machines are unresponsive that the network is the likelier cause
+    bool few_unreconciled = false;  ///< few enough to be given up while jobs wait for proof of what they run
     bool gangs_arrive = false;
     bool arrays_arrive = false;
   };
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -26,6 +26,7 @@
 /// limit. That need rises at once and falls slowly, since a short lull must not cost boots.
 class ScaleOut {
  public:
+  /// The arguments have to outlive it.
   ScaleOut(ControllerContext& context, const Scheduler& scheduler, const CloudClient& cloud,
            const ZoneHealth& zones);
 
@@ -79,9 +80,9 @@
   const CloudClient& cloud_;
   const ZoneHealth& zones_;
   double needed_cores_ = 0;
-  double needed_at_ = 0;       // steady time of the last update; 0: none yet
-  double array_capacity_ = 0;  // cores for arrays, there or coming, as of the last plan
-  double gang_claim_ = 0;      // of them, what waiting gangs will take
+  double needed_at_ = 0;       ///< steady time of the last update; 0: none yet
+  double array_capacity_ = 0;  ///< cores for arrays, there or coming, as of the last plan
+  double gang_claim_ = 0;      ///< of them, what waiting gangs will take
   std::map<std::string, int> machines_by_zone_;
 };
 
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -15,12 +15,15 @@
 /// counts.
 class ZoneHealth {
  public:
+  /// `context` has to outlive it.
   explicit ZoneHealth(ControllerContext& context) : context_(context) {}
 
+  /// Forgets all verdicts, for a new term.
   void clear() { unresponsive_since_.clear(); }
   /// Looks at all machines. `serving_since_s`: steady time since which this leader serves; before it, nobody
   /// could send it heartbeats.
   void update(double serving_since_s);
+  /// The last update found the zone unresponsive.
   bool unresponsive(const std::string& zone) const { return unresponsive_since_.contains(zone); }
 
  private:
@@ -31,7 +34,7 @@
   bool is_quiet(const bookkeeping::Machine& machine, double serving_since_s) const;
 
   ControllerContext& context_;
-  std::map<std::string, double> unresponsive_since_;  // zone -> steady time when that was last seen
+  std::map<std::string, double> unresponsive_since_;  ///< zone -> steady time when that was last seen
 };
 
 }  // namespace robinford::coordination
