--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -24,8 +24,8 @@
 
 // One controller's part in this: what it sends is handed over by the test, or not.
 struct Member {
-  explicit Member(const std::string& name, std::uint64_t incarnation_ = kStarted)
-      : name(name), incarnation(incarnation_), cancellations(site(name)) {}
+  explicit Member(const std::string& name, std::uint64_t incarnation = kStarted)
+      : name(name), incarnation(incarnation), cancellations(site(name)) {}
   protocol::PeerMessage status_to(const Member& other, double now) {
     protocol::PeerMessage status;
     status.kind = protocol::PeerKind::kStatus;
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -86,7 +86,9 @@
   EXPECT_EQ(run(arguments + QUOTA_SWITCH_FILE).code, 0);
   const std::string head = "[quota_leases]\nenabled = true\n";
   for (const char* key : {"ttl_s", "leased_shares", "write_share"}) {
-    const auto outcome = run(arguments + file("bad-switch.toml", head + key + " = 1000\n"));
+    std::string content = head;
+    content.append(key).append(" = 1000\n");
+    const auto outcome = run(arguments + file("bad-switch.toml", content));
     EXPECT_EQ(WEXITSTATUS(outcome.code), 2) << outcome.text;
     EXPECT_NE(outcome.text.find(key), std::string::npos) << outcome.text;
   }
--- a/tests/loopback/site.cpp
+++ b/tests/loopback/site.cpp
@@ -157,6 +157,7 @@
   words.emplace_back("--config");
   words.push_back(own.settings_path);
   std::vector<char*> arguments;
+  arguments.reserve(words.size() + 1);
   for (auto& word : words) arguments.push_back(word.data());
   arguments.push_back(nullptr);
   posix_spawn_file_actions_t actions;
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -177,14 +177,14 @@
   for (std::uint32_t i = 0; i < 90000; ++i) job.mark_done(i);
   for (std::uint32_t i = 90001; i < 90400; i += 2) job.mark_done(i);
   bool whole = false;
-  auto record = bookkeeping::JobLedger::record(job, 16 * 1024, whole);
+  auto record = bookkeeping::JobLedger::record(job, std::size_t{16} * 1024, whole);
   EXPECT_TRUE(whole);
   auto back = bookkeeping::JobLedger::from_record(record, 5, 0);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->done, job.done);
   // With too many gaps for the limit, the record says that it is not the whole.
   for (std::uint32_t i = 0; i < 90000; i += 2) job.done[i] = false;
-  record = bookkeeping::JobLedger::record(job, 16 * 1024, whole);
+  record = bookkeeping::JobLedger::record(job, std::size_t{16} * 1024, whole);
   EXPECT_FALSE(whole);
   EXPECT_LE(json::serialize(record).size(), 16u * 1024);
 }
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -84,8 +84,9 @@
     if (!w.up || w.dead || w.gone ||
         now_ < std::max({w.hung_until, w.outbound_lost_until, w.inbound_lost_until, w.faulty_until}))
       continue;
-    const auto type = std::find_if(options_.types.begin(), options_.types.end(),
-                                   [&](const auto& t) { return t.name == w.type; });
+    const auto type =
+        std::find_if(options_.types.begin(), options_.types.end(),
+                     [&wanted = w.type](const auto& offered) { return offered.name == wanted; });
     if (type == options_.types.end()) continue;
     InvariantChecker::FreeCapacity free{w.type, w.zone, w.spot, type->cpus, type->memory_gb};
     for (const auto& [id, task] : w.tasks)
@@ -182,7 +183,7 @@
 
 void SimulatedCluster::request(int i, const std::string& from, const std::string& method,
                                const std::string& target, const std::string& body,
-                               std::function<void(int, const std::string&)> done) {
+                               const std::function<void(int, const std::string&)>& done) {
   carry(from, nodes_[i].name, [this, i, from, method, target, body, done] {
     auto& node = nodes_[i];
     if (!node.controller) return carry(nodes_[i].name, from, [done] { done(0, ""); });
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -281,7 +281,7 @@
   void tick_node(int node, std::uint64_t life);
   void drain(int node);
   void request(int node, const std::string& from, const std::string& method, const std::string& target,
-               const std::string& body, std::function<void(int, const std::string&)> done);
+               const std::string& body, const std::function<void(int, const std::string&)>& done);
   void link(int node, int other, bool up);
   // state service
   std::pair<int, std::string> state_call(const std::string& method, const std::string& target,
@@ -303,7 +303,7 @@
   void clear_worker(Worker& worker);
   bool gang_present(const protocol::TaskId& id, std::uint64_t attempt, int& ready) const;
   // users
-  void try_submit(protocol::JobSpec spec, double since);
+  void try_submit(const protocol::JobSpec& spec, double since);
   void try_cancel(protocol::JobId id);
   void poll(protocol::JobId id);
   void ask(protocol::JobId id);
--- a/tests/simulated_cluster_state_service.cpp
+++ b/tests/simulated_cluster_state_service.cpp
@@ -91,7 +91,7 @@
 
 std::pair<int, std::string> SimulatedCluster::state_call(const std::string& method, const std::string& target,
                                                          const std::string& body) {
-  const auto answer = store_.call(now_, method, target, body);
+  auto answer = store_.call(now_, method, target, body);
   // Leases end by time alone, and whoever watches their keys hears of it then.
   if (target.starts_with(n::kPathLeases))
     after(std::max(0.0, store_.touched_lease_ends() - now_) + kLeaseEndSlack, [this] { state_changed(); });
--- a/tests/simulated_cluster_users.cpp
+++ b/tests/simulated_cluster_users.cpp
@@ -21,7 +21,7 @@
   try_submit(spec, now_);
 }
 
-void SimulatedCluster::try_submit(JobSpec spec, double since) {
+void SimulatedCluster::try_submit(const JobSpec& spec, double since) {
   if (now_ - since > 60) return;
   const int node = static_cast<int>(random_() % nodes_.size());
   if (duplicates("user") && now_ == since)
--- a/tests/state_store.hpp
+++ b/tests/state_store.hpp
@@ -53,7 +53,8 @@
   std::map<std::uint64_t, Lease> leases_;
   std::vector<Change> changes_;
   std::uint64_t epoch_ = 0, next_lease_ = 1;
-  std::size_t value_most_ = 16 * 1024, ops_most_ = 32;
+  std::size_t value_most_ = std::size_t{16} * 1024;
+  std::size_t ops_most_ = 32;
   double writes_a_second_ = 0, writes_level_ = 0, writes_at_ = 0;  // 0: no limit
   double touched_lease_ends_ = 0;
   int refusals_ = 0;
