--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -8,6 +8,7 @@
 #include <functional>
 #include <string>
 #include <thread>
+#include <utility>
 
 #include "constants.hpp"
 #include "transport/http_server.hpp"
@@ -22,8 +23,8 @@
   explicit Bench(ServerLimits limits = {8, 16})
       : server(
             io, limits,
-            [this](std::uint64_t token, std::string, std::string target, std::string) {
-              server.reply(token, {200, 0, target, true, false});
+            [this](std::uint64_t token, const std::string&, std::string target, const std::string&) {
+              server.reply(token, {200, 0, std::move(target), true, false});
             },
             [](const std::string& target) { return target == "/favoured"; }) {
     server.listen("127.0.0.1", 0);
