--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -17,7 +17,8 @@
 
 // The bytes that it may take in a record, with the longest address.
 std::size_t bytes_on_record(const Machine& machine) {
-  return machine.name.size() + machine.type.size() + machine.zone.size() + constants::kMachineEntryBytes;
+  return machine.name.size() + machine.type.size() + machine.zone.size() +
+         constants::kMachineEntryOverheadBytes;
 }
 
 bool is_numbered(const std::string& group) { return !group.empty() && group[0] == kNumberedPrefix; }
@@ -36,7 +37,7 @@
 }
 
 std::size_t MachineLedger::bytes_of(const MachineGroup& group) {
-  std::size_t bytes = constants::kMachineRecordBytes;
+  std::size_t bytes = constants::kMachineRecordOverheadBytes;
   for (const auto& name : group.members)
     if (const Machine* machine = find(name)) bytes += bytes_on_record(*machine);
   return bytes;
@@ -133,7 +134,7 @@
     Machine* machine = find(name);
     if (machine == nullptr || machine->state == MachineState::kGone) continue;
     // Where that does not fit, its lease is reckoned the longer way.
-    if (machine->unanswered_since_ms) bytes += name.size() + constants::kUnansweredEntryBytes;
+    if (machine->unanswered_since_ms) bytes += name.size() + constants::kUnansweredEntryOverheadBytes;
     if (machine->unanswered_since_ms && layout_ == RecordLayout::kBySize && bytes > record_limit_)
       machine->unanswered_since_ms.reset();
     if (machine->unanswered_since_ms)
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -65,7 +65,7 @@
   FleetView view;
   // When many are unresponsive at once the network is the likelier cause, and returning them would cost all
   // their work.
-  view.network_fault = unresponsive > 2 && unresponsive > known * c::kUnresponsiveShareMax;
+  view.network_fault = unresponsive > 2 && unresponsive > known * c::kNetworkFaultShare;
   // A few machines that send no heartbeats hold up the work of earlier leaders; many are a network fault that
   // will pass.
   view.few_unreconciled = scheduler_.unreconciled_machines() <=
@@ -86,7 +86,7 @@
   if (scheduler_.give_up(machine) && (!view.network_fault || machine.interruption_at))
     return "it is unresponsive";
   if (machine.unreconciled && scheduler_.phase() == LeaderPhase::kServing && view.few_unreconciled &&
-      machine.probe_failures >= c::kProbesEnough)
+      machine.probe_failures >= c::kProbeFailureThreshold)
     return "unresponsive since an earlier leader, and jobs wait for proof of what it runs";
   if (machine.cordoned && (is_empty(machine) || !machine.saw_term)) return "it was cordoned";
   return nullptr;
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -12,9 +12,10 @@
 using bookkeeping::MachineState;
 
 bool ZoneHealth::is_quiet(const Machine& machine, double serving_since_s) const {
-  const double patience_s = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double patience_s =
+      context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   if (context_.now.steady - std::max(machine.last_heartbeat, serving_since_s) > patience_s) return true;
-  return !machine.sent_heartbeat && machine.probe_failures >= c::kProbesEnough;
+  return !machine.sent_heartbeat && machine.probe_failures >= c::kProbeFailureThreshold;
 }
 
 void ZoneHealth::update(double serving_since_s) {
--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -27,7 +27,8 @@
   // read.
   if (machine.unreconciled || machine.unanswered_since_ms) {
     const double round_end =
-        leader_since + 2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
+        leader_since +
+        2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS);
     const double last = cancelled_at + cancel_s - c::kOverdueLastS;
     deadline = std::max(deadline, last > now ? std::min(round_end, last) : round_end);
   }
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -121,7 +121,7 @@
 }
 
 void ChangeLog::delete_uncollected() {
-  while (!uncollected_.empty() && context_.writer.waiting() < c::kQuietWriter) {
+  while (!uncollected_.empty() && context_.writer.waiting() < c::kBackgroundWriteQueueMax) {
     const StoredEntry entry = uncollected_.back();
     uncollected_.pop_back();
     delete_entry(entry.key, entry.mod_revision);
@@ -138,7 +138,7 @@
 void ChangeLog::start_read_if_due() {
   if (reading_) return;
   const double shortest_pause_s = c::kChangeLogCalls / context_.settings.state_rps;
-  double pause_s = c::kLoadRetryS;
+  double pause_s = c::kLedgerReadRetryS;
   if (!waiting_for_next_.empty())
     pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
   else if (election_.caught_up())
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -65,7 +65,7 @@
 
 void Dependencies::tick() {
   if (unknown_.empty() || context_.now.steady < next_read_) return;
-  next_read_ = context_.now.steady + c::kLoadRetryS;
+  next_read_ = context_.now.steady + c::kLedgerReadRetryS;
   std::vector<JobId> to_read;
   for (const auto id : unknown_)
     if (to_read.size() + reading_.size() < c::kDependencyReads && !reading_.contains(id))
@@ -89,7 +89,7 @@
         return finished(id, known.state);
       case JobLookup::Known::What::kLive:
         if (!known_unfinished(id)) events_.admitted(id);
-        next_read_ = context_.now.steady + c::kLoadRetryS;
+        next_read_ = context_.now.steady + c::kLedgerReadRetryS;
         return;
       case JobLookup::Known::What::kNever:
         if (missing_.insert(id).second)
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 double calls_per_second(const protocol::Settings& settings) {
-  return std::max(c::kDirectLeast, settings.cpu_share * c::kDirectPerCore);
+  return std::max(c::kDirectCallRateMin, settings.cpu_share * c::kDirectCallRatePerCore);
 }
 
 }  // namespace
@@ -24,11 +24,11 @@
 // launches. That is worth a connection for each launch where it takes a good part of the shortest start that
 // users expect.
 bool launches_directly(const protocol::Settings& settings) {
-  double shortest = c::kDirectDefaultWaitS;
+  double shortest = c::kDefaultStartObjectiveS;
   for (const auto& objective : settings.objectives)
     if (objective.kind == "wait" || objective.kind == "guarantee")
       shortest = std::min(shortest, objective.within_s);
-  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitter > shortest * c::kDirectWaitShare;
+  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitterFactor > shortest * c::kDirectLaunchWaitShare;
 }
 
 DirectCommands::DirectCommands(ControllerContext& context, const Election& election,
@@ -47,7 +47,7 @@
 }
 
 bool DirectCommands::can_send() const {
-  return open_.size() < static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
+  return open_.size() < static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketDivisor);
 }
 
 void DirectCommands::send(Machine& machine, std::vector<Command> commands) {
@@ -75,11 +75,11 @@
     to_probe_.pop_front();
     Machine* machine = context_.machines.find(name);
     if (machine == nullptr || !machine->unreconciled) continue;
-    const bool just_probed =
-        machine->open_probes > 0 || context_.now.steady - machine->last_probe_at < c::kProbeAgainS;
+    const bool just_probed = machine->open_probes > 0 ||
+                             context_.now.steady - machine->last_probe_at < c::kReconcileProbeIntervalS;
     // One that was just answered with our token sends another heartbeat by itself, to show it.
     const bool about_to_show_token =
-        machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kShowTokenS;
+        machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kTokenEchoWaitS;
     if (just_probed || about_to_show_token)
       to_probe_.push_back(name);
     else
@@ -97,21 +97,21 @@
 
 bool DirectCommands::may_be_unreachable(const Machine& machine) const {
   const bool commands_lost =
-      machine.undelivered >= c::kUndeliveredMost || machine.unproven_answers >= c::kUnprovenMost;
+      machine.undelivered >= c::kUndeliveredCommandsMax || machine.unproven_answers >= c::kUnprovenAnswersMax;
   const double heartbeat_age_s = context_.now.steady - machine.last_heartbeat;
   return commands_lost &&
-         heartbeat_age_s < 2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatS;
+         heartbeat_age_s < 2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatSlackS;
 }
 
 DirectCommands::Reachability DirectCommands::record_failure(Machine& machine) {
   ++machine.probe_failures;
-  if (machine.unreconciled && machine.probe_failures < c::kProbesMost) plan_probe(machine.name);
+  if (machine.unreconciled && machine.probe_failures < c::kReconcileProbesMax) plan_probe(machine.name);
   if (!may_be_unreachable(machine) || machine.cordoned) return Reachability::kUncertain;
-  if (machine.probe_failures < c::kProbesEnough) {
+  if (machine.probe_failures < c::kProbeFailureThreshold) {
     probe(machine);
     return Reachability::kUncertain;
   }
-  const auto most = c::kUnreachableLeast +
+  const auto most = c::kUnreachableBaseAllowance +
                     static_cast<std::size_t>(c::kUnreachableShareMax * context_.machines.all().size());
   if (unreachable_ >= most) return Reachability::kUncertain;
   ++unreachable_;
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -109,7 +109,8 @@
   std::vector<Command> commands;
   for (const auto& id : machine.tasks) {
     Job* job = context_.jobs.find(id.job);
-    if (job == nullptr || job->state != JobState::kActive || commands.size() >= c::kCommandsMax) continue;
+    if (job == nullptr || job->state != JobState::kActive || commands.size() >= c::kCommandsPerAnswerMax)
+      continue;
     auto& run = job->runs.at(id.index);
     if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
     commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
@@ -134,8 +135,8 @@
         auto& run = job->runs.at(id.index);
         if (run.state != RunState::kStopping) continue;
         any = true;
-        if (now - run.last_stop < c::kStopAgainS || commands.size() >= c::kCommandsMax ||
-            machine->open_probes >= c::kOpenMost || !direct_.can_send())
+        if (now - run.last_stop < c::kDirectStopRetryS || commands.size() >= c::kCommandsPerAnswerMax ||
+            machine->open_probes >= c::kOpenDirectCallsMax || !direct_.can_send())
           continue;
         run.last_stop = now;
         commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -74,7 +74,7 @@
 void Scheduler::on_agent_restart(Machine& machine) {
   // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
-    note_undelivered(machine, c::kUndeliveredMost);
+    note_undelivered(machine, c::kUndeliveredCommandsMax);
   // Commands for the old agent epoch are refused from now on.
   machine.direct.clear();
 }
@@ -275,7 +275,7 @@
       job.backoff_until = std::max(job.backoff_until, now + context_.settings.heartbeat_interval_s);
       break;
     case ExitReason::kUnknown:
-      job.backoff_until = std::max(job.backoff_until, now + c::kUnknownBackoffS);
+      job.backoff_until = std::max(job.backoff_until, now + c::kUnknownJobBackoffS);
       break;
     default:
       break;
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -39,7 +39,7 @@
 void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
   if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
-    if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
+    if (early_.size() >= context_.per_machine(c::kEarlyHeartbeatsPerMb)) return actions_.answer(key, 503, {});
     early_.push_back({key, heartbeat});
     return;
   }
@@ -123,7 +123,7 @@
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
   // It was answered with our token again and again and still does not show it: our answers don't reach it.
-  if (++machine.unproven_answers >= c::kUnprovenMost) probe_if_suspect(machine);
+  if (++machine.unproven_answers >= c::kUnprovenAnswersMax) probe_if_suspect(machine);
 }
 
 // Liveness: only a newer heartbeat of the machine counts.
@@ -181,7 +181,7 @@
 std::vector<Command> Scheduler::commands_for(Machine& machine) {
   std::vector<Command> commands;
   const bool may_launch = may_place() && machine.state == MachineState::kUp && machine.recorded;
-  const auto has_space = [&] { return commands.size() < c::kCommandsMax; };
+  const auto has_space = [&] { return commands.size() < c::kCommandsPerAnswerMax; };
   for (const auto& unknown_task : machine.unknown_tasks)
     if (has_space()) commands.push_back({Command::Op::kStop, unknown_task.task, unknown_task.attempt, 0});
   // Completions may be cleared before they are durable: a task that is started again ends at once, as done.
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -278,8 +278,9 @@
 void Scheduler::write_progress(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
-  if (job.durable_version < job.done_version && context_.now.steady - job.last_write > c::kLedgerEveryS &&
-      context_.writer.waiting() < c::kQuietWriter)
+  if (job.durable_version < job.done_version &&
+      context_.now.steady - job.last_write > c::kProgressWriteIntervalS &&
+      context_.writer.waiting() < c::kBackgroundWriteQueueMax)
     write_job(job);
 }
 
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -26,12 +26,12 @@
   machine.error_jobs.insert(job.spec.id);
   job.failed_on.insert(machine.name);
   ++job.failures;
-  job.avoid[machine.name] = now + c::kAvoidS;
+  job.avoid[machine.name] = now + c::kAvoidMachineS;
   const bool job_suspect = static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines;
   const bool works_elsewhere = !job_suspect && (job.done_count > 0 || !job.runs.empty());
   if (job_suspect || job.spec.gang) {
     const double pause = std::min(
-        c::kBackoffMaxS, c::kBackoffFirstS * std::pow(2.0, std::max(0.0, job.failed_on.size() - 2.0)));
+        c::kBackoffMaxS, c::kBackoffInitialS * std::pow(2.0, std::max(0.0, job.failed_on.size() - 2.0)));
     job.backoff_until = std::max(job.backoff_until, now + (job_suspect ? pause : 0.0));
   }
   const bool sick = static_cast<int>(machine.error_jobs.size()) >= c::kMachineSuspectErrors ||
@@ -54,11 +54,12 @@
 // probe.
 void Scheduler::note_undelivered(Machine& machine, int by) {
   machine.undelivered += by;
-  if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
+  if (machine.undelivered >= c::kUndeliveredCommandsMax) probe_if_suspect(machine);
 }
 
 void Scheduler::probe_if_suspect(Machine& machine) {
-  if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeEveryS) return;
+  if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeIntervalS)
+    return;
   direct_.probe(machine);
 }
 
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -49,11 +49,12 @@
   if (machine.state != MachineState::kUnresponsive) return false;
   const double unresponsive_since = std::max(machine.last_heartbeat, began_);
   return context_.now.steady - unresponsive_since >
-         std::max(c::kUnresponsiveMinS, c::kUnresponsiveHeartbeats * context_.settings.heartbeat_interval_s);
+         std::max(c::kGiveUpMinS, c::kGiveUpHeartbeats * context_.settings.heartbeat_interval_s);
 }
 // A machine whose heartbeats stopped becomes unresponsive, and gangs look for capacity elsewhere.
 void Scheduler::detect_silence(Machine& machine) {
-  const double patience = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double patience =
+      context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
   const bool present = machine.state == MachineState::kUp || machine.state == MachineState::kBooting;
   const double silent_since = std::max(machine.last_heartbeat, began_);
@@ -83,7 +84,7 @@
     const auto& run = job->runs.at(id.index);
     if (!run.direct || run.seen) continue;
     any_open = true;
-    const bool overdue = context_.now.steady - run.launched_at > c::kUnansweredLaunchS;
+    const bool overdue = context_.now.steady - run.launched_at > c::kUnansweredLaunchTimeoutS;
     if (!job->over() || !overdue || machine.state == MachineState::kReturning) continue;
     spdlog::info("machine {} is returned: a launch of cancelled work may still reach it", machine.name);
     MachineLedger::set_state(machine, MachineState::kReturning);
@@ -108,7 +109,7 @@
 void Scheduler::watch_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
     detect_silence(machine);
-    const bool probes_failed = machine.unreconciled && machine.probe_failures >= c::kProbesEnough;
+    const bool probes_failed = machine.unreconciled && machine.probe_failures >= c::kProbeFailureThreshold;
     if (phase_ == LeaderPhase::kServing && election_.valid() &&
         (machine.state == MachineState::kUnresponsive || probes_failed))
       stop_answering(machine);
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -29,7 +29,8 @@
   for (auto& [name, group] : machines.groups()) {
     if (group.writing || !group.leaving.empty()) continue;
     const bool due = group.urgent || group.outdated || MachineLedger::deletable(group);
-    if (due && now - group.last_write >= (group.urgent ? pause : c::kRecordTidyS)) write(name, group);
+    if (due && now - group.last_write >= (group.urgent ? pause : c::kOutdatedRecordWriteIntervalS))
+      write(name, group);
   }
   std::erase_if(machines.groups(), [](const auto& entry) {
     const MachineGroup& group = entry.second;
@@ -44,8 +45,8 @@
   const auto urgent = std::count_if(groups.begin(), groups.end(), [](const auto& entry) {
     return entry.second.urgent && entry.second.leaving.empty();
   });
-  const double rate = context_.settings.state_write_rps * c::kLeaderBudgetShare * c::kRecordWriteShare;
-  return std::max(c::kRecordUrgentS, static_cast<double>(urgent) / std::max(1.0, rate));
+  const double rate = context_.settings.state_write_rps * c::kLeaderBudgetShare * c::kMachineRecordWriteShare;
+  return std::max(c::kUrgentRecordWriteIntervalS, static_cast<double>(urgent) / std::max(1.0, rate));
 }
 
 void MachineRecordWriter::write(const std::string& name, MachineGroup& group) {
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -77,7 +77,8 @@
       bookkeeping::kTermKey,
       [this, again = std::move(again), since, generation = generation_](const bookkeeping::StateRead&) {
         if (generation != generation_ || phase_ != LeaderPhase::kLoading) return;
-        if (context_.now.steady - since > c::kLoadRetryS || context_.state.reachable(context_.now.steady))
+        if (context_.now.steady - since > c::kLedgerReadRetryS ||
+            context_.state.reachable(context_.now.steady))
           again();
         else
           load_failed(again);
@@ -165,9 +166,10 @@
   unreconciled_.charge_quota();
   expect_old_cancelled_work_gone();
   context_.cancellations.change_log_read(election_.last_renewed());
-  const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double round =
+      context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   reconcile_until_ =
-      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
+      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kEmptyFleetReconcileS));
   spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
                context_.machines.all().size());
   set_phase(LeaderPhase::kReconciling);
@@ -218,7 +220,7 @@
   const double now = context_.now.steady;
   if (now >= reconcile_until_) return true;
   if (now < next_reconcile_check_) return false;
-  next_reconcile_check_ = now + c::kReconcileCheckS;
+  next_reconcile_check_ = now + c::kReconcileCheckIntervalS;
   bool any = false;
   for (const auto& [name, machine] : context_.machines.all()) {
     // One unanswered probe is enough here: an unresponsive machine proves nothing by being waited for, and
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -36,7 +36,7 @@
 void DirectCalls::carry_out(const PeerMessage& probe) {
   const std::string& requester = probe.member;  // empty: this leader itself
   // Calls for others must not exhaust the connections that this controller needs for its own clients.
-  const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
+  const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketDivisor);
   if (!requester.empty() && open_calls_ >= limit) return finish(requester, probe.request, 0, nullptr);
   ++open_calls_;
   protocol::Call call;
@@ -45,7 +45,7 @@
   call.method = "POST";
   call.target = n::kPathCommands;
   call.body = protocol::commands_json(probe.term, probe.commands, probe.base_seq);
-  call.timeout_s = c::kDirectTimeoutS;
+  call.timeout_s = c::kDirectCallTimeoutS;
   context_.calls.send(std::move(call),
                       [this, requester, id = probe.request](const protocol::CallResult& result) {
                         --open_calls_;
--- a/src/coordination/scheduling/array_tiers.cpp
+++ b/src/coordination/scheduling/array_tiers.cpp
@@ -70,7 +70,7 @@
     demanded += cores;
   }
   const double available = demanded > 0 ? std::clamp(supply_cpus / demanded, kLeastPacePart, 1.0) : 1.0;
-  const double part = c::kPaceShare * available;
+  const double part = c::kAttainableRateShare * available;
   for (auto& [name, cores] : cores_by_name) cores *= part;
   return cores_by_name;
 }
--- a/src/coordination/scheduling/arrival_history.cpp
+++ b/src/coordination/scheduling/arrival_history.cpp
@@ -20,27 +20,28 @@
   const double arrived_at = context_.now.steady - age_s;
   if (job.spec.gang) {
     gangs_.push_back({arrived_at, job.spec});
-    if (gangs_.size() > c::kRecentGangs) gangs_.pop_front();
+    if (gangs_.size() > c::kRecentGangsMax) gangs_.pop_front();
     return;
   }
   arrays_.push_back({arrived_at, job.spec, job.remaining() * job.spec.cpus, std::max(1.0, time_left_s)});
-  while (!arrays_.empty() &&
-         (arrays_.size() > c::kRecentArrays || context_.now.steady - arrays_.front().at > c::kLoadWindowS))
+  while (!arrays_.empty() && (arrays_.size() > c::kRecentArraysMax ||
+                              context_.now.steady - arrays_.front().at > c::kArrayLoadWindowS))
     arrays_.pop_front();
 }
 
 double ArrivalHistory::array_cores(double boot_s) const {
   std::map<std::string, double> core_seconds_by_team;
   for (const auto& arrival : arrays_) {
-    if (context_.now.steady - arrival.at > c::kLoadWindowS) continue;
-    const double urgency = std::clamp(c::kReadyBoots * boot_s / arrival.allowed_s, c::kReadyLeast, 1.0);
+    if (context_.now.steady - arrival.at > c::kArrayLoadWindowS) continue;
+    const double urgency =
+        std::clamp(c::kReadyCapacityBoots * boot_s / arrival.allowed_s, c::kReadyCapacityShareMin, 1.0);
     core_seconds_by_team[arrival.spec.team] += arrival.cores * run_times_.expected(arrival.spec) * urgency;
   }
   // Jobs that already wait when a service starts don't show a rate: the window is never taken as shorter.
   double cores = 0;
   for (const auto& [name, core_seconds] : core_seconds_by_team)
     if (const auto* team = context_.settings.team(name))
-      cores += std::min(core_seconds / c::kLoadWindowS, team->cpus_max);
+      cores += std::min(core_seconds / c::kArrayLoadWindowS, team->cpus_max);
   return cores;
 }
 
@@ -65,7 +66,7 @@
 const JobSpec* ArrivalHistory::typical_gang() const {
   if (gangs_.empty()) return nullptr;
   const auto filling = std::find_if(gangs_.rbegin(), gangs_.rend(), [this](const GangArrival& gang) {
-    return tasks_per_machine(gang.spec) <= c::kFillingGangTasks;
+    return tasks_per_machine(gang.spec) <= c::kMachineFillingGangTasksMax;
   });
   return filling == gangs_.rend() ? &gangs_.back().spec : &filling->spec;
 }
@@ -73,7 +74,7 @@
 ArrivalHistory::GangUse ArrivalHistory::gang_use(const Machine& machine) const {
   if (context_.now.steady >= gang_use_cached_until_) {
     gang_use_cache_.clear();
-    gang_use_cached_until_ = context_.now.steady + c::kSuitsS;
+    gang_use_cached_until_ = context_.now.steady + c::kGangUseCacheS;
   }
   const auto [entry, is_new] = gang_use_cache_.try_emplace(kind_of(machine), GangUse{});
   GangUse& use = entry->second;
@@ -83,7 +84,7 @@
     if (!kind_allowed(gang.spec, machine.type, machine.zone, machine.spot) || !whole.fits(gang.spec))
       continue;
     use.fits = true;
-    use.fills = whole.tasks_of(gang.spec) <= c::kFillingGangTasks;
+    use.fills = whole.tasks_of(gang.spec) <= c::kMachineFillingGangTasksMax;
     if (use.fills) break;
   }
   return use;
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -11,9 +11,9 @@
 
 namespace robinford::coordination {
 
-/// Owns copies of the descriptions of recently admitted jobs, bounded by `kRecentGangs` and `kRecentArrays`.
-/// The fleet decides from them how much capacity to keep ready; nothing of safety depends on it. The history
-/// outlives a term of leadership, since arrivals don't change with the leader.
+/// Owns copies of the descriptions of recently admitted jobs, bounded by `kRecentGangsMax` and
+/// `kRecentArraysMax`. The fleet decides from them how much capacity to keep ready; nothing of safety depends
+/// on it. The history outlives a term of leadership, since arrivals don't change with the leader.
 class ArrivalHistory {
  public:
   /// Both references must outlive the history. `run_times` predicts the work of recorded arrays.
@@ -33,8 +33,8 @@
   const protocol::JobSpec* typical_gang() const;
   /// Machines that arriving gangs fill, per second, over the last `kGangWindowS`.
   double gang_machines_per_second() const;
-  /// Cores that the arrays of the last `kLoadWindowS` keep busy, each team's up to its limit. An array that
-  /// can wait for machines to boot (`boot_s` seconds each) counts for less.
+  /// Cores that the arrays of the last `kArrayLoadWindowS` keep busy, each team's up to its limit. An array
+  /// that can wait for machines to boot (`boot_s` seconds each) counts for less.
   double array_cores(double boot_s) const;
 
  private:
@@ -61,7 +61,7 @@
   const RunTimes& run_times_;
   std::deque<GangArrival> gangs_;
   std::deque<ArrayArrival> arrays_;
-  // Answers of `gang_use`, computed once for each kind and kept for `kSuitsS`.
+  // Answers of `gang_use`, computed once for each kind and kept for `kGangUseCacheS`.
   mutable std::map<MachineKind, GangUse> gang_use_cache_;
   mutable double gang_use_cached_until_ = 0;
 };
--- a/src/coordination/scheduling/capacity_survey.cpp
+++ b/src/coordination/scheduling/capacity_survey.cpp
@@ -26,7 +26,7 @@
 
 void CapacitySurvey::refresh_if_due(const QueueOrder::Queues& queues) {
   if (context_.now.steady < next_count_) return;
-  next_count_ = context_.now.steady + c::kSurveyEveryS;
+  next_count_ = context_.now.steady + c::kCapacitySurveyIntervalS;
   count(queues);
 }
 
--- a/src/coordination/scheduling/capacity_survey.hpp
+++ b/src/coordination/scheduling/capacity_survey.hpp
@@ -13,7 +13,7 @@
 namespace robinford::coordination {
 
 /// Knows how much capacity the fleet has, and whether waiting arrays should leave a machine to others.
-/// Counted anew at most every `kSurveyEveryS`; in between only placed array tasks are subtracted.
+/// Counted anew at most every `kCapacitySurveyIntervalS`; in between only placed array tasks are subtracted.
 class CapacitySurvey {
  public:
   /// The references must outlive the survey.
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -31,7 +31,7 @@
 
 void Scheduler::round() {
   const double now = context_.now.steady;
-  if (!may_place() || now - last_round_ < c::kRoundEveryS) return;
+  if (!may_place() || now - last_round_ < c::kPlacementRoundIntervalS) return;
   if (!take_round_due()) return;
   last_round_ = now;
   claimed_.clear();
@@ -125,12 +125,12 @@
     if (place_gang(job, round.open)) return true;
     round.failed.push_back(&job.spec);
   }
-  if (now >= job.next_preempt && round.searches < c::kPreemptsMost) {
+  if (now >= job.next_preempt && round.searches < c::kPreemptSearchesPerRoundMax) {
     ++round.searches;
-    job.next_preempt = now + c::kPreemptEveryS;
+    job.next_preempt = now + c::kPreemptSearchIntervalS;
     preempt_for(job);
   }
-  if (now - job.known_at > c::kClaimAfterS && round.claims < c::kClaimsMost) {
+  if (now - job.known_at > c::kGangClaimAfterS && round.claims < c::kGangClaimsPerRoundMax) {
     ++round.claims;
     claim_machines(job);
     std::erase_if(round.open, [&](const Offer& offer) { return claimed_.contains(offer.machine->name); });
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -50,7 +50,8 @@
 }
 
 bool takes_work(const ControllerContext& context, const Machine& machine) {
-  const double fresh = context.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double fresh =
+      context.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   return machine.state == MachineState::kUp && !machine.cordoned && !machine.interruption_at &&
          context.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
 }
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -28,7 +28,7 @@
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
   if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt) return;
-  job.next_preempt = now + c::kPreemptEveryS;
+  job.next_preempt = now + c::kPreemptSearchIntervalS;
   const auto used = context_.quota.usage(job.spec.team);
   double excess = used.cpus + job.spec.cpus * job.spec.tasks - team->cpus_max;
   struct Victim {
@@ -54,7 +54,7 @@
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
   if (possible < excess) return;  // other gangs use the limit: it waits for them
-  job.quota_freed_until = now + c::kReserveS;
+  job.quota_freed_until = now + c::kPreemptionHoldS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
     if (excess <= 0) break;
@@ -119,7 +119,7 @@
 void Scheduler::preempt(const Job& job, const PreemptionOption& option) {
   option.machine->reserved_by = job.spec.id;
   option.machine->reserved_until =
-      context_.now.steady + std::max(c::kReserveS, 3 * context_.settings.heartbeat_interval_s);
+      context_.now.steady + std::max(c::kPreemptionHoldS, 3 * context_.settings.heartbeat_interval_s);
   for (const auto& victim : option.victims) {
     Job* other = context_.jobs.find(victim.task.job);
     stop_run(*other, victim.task.index, 0);
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -24,7 +24,7 @@
             job.spec.id};
   // Work that has waited for long comes before the turn of the shares, oldest first: none starves, the
   // largest least.
-  const bool gang_overdue = job.spec.gang && context_.now.steady - job.known_at > c::kClaimAfterS;
+  const bool gang_overdue = job.spec.gang && context_.now.steady - job.known_at > c::kGangClaimAfterS;
   if (gang_overdue || waited_too_long(job)) {
     rank.tier = -1;
     rank.share = 0;
@@ -34,7 +34,7 @@
 }
 
 bool QueueOrder::waited_too_long(const Job& job) const {
-  return !job.spec.gang && job.first_start == 0 && context_.now.steady - job.known_at > c::kArrayLongestWaitS;
+  return !job.spec.gang && job.first_start == 0 && context_.now.steady - job.known_at > c::kArrayOverdueWaitS;
 }
 
 double QueueOrder::time_left(const Job& job) const {
@@ -63,7 +63,7 @@
 }
 
 void QueueOrder::sort() {
-  next_sort_ = context_.now.steady + c::kQueuesEveryS;
+  next_sort_ = context_.now.steady + c::kQueueSortIntervalS;
   changed_ = false;
   queues_.clear();
   std::map<const Job*, Rank> ranks;
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -27,8 +27,8 @@
 };
 
 /// Ranks jobs, and keeps for each team a queue of its arrays with tasks to place. The queues are sorted anew
-/// at most every `kQueuesEveryS`, so that a heartbeat does not walk all jobs; a queue may in between name
-/// jobs that have no task to place any more, but none that was erased (see `sort`).
+/// at most every `kQueueSortIntervalS`, so that a heartbeat does not walk all jobs; a queue may in between
+/// name jobs that have no task to place any more, but none that was erased (see `sort`).
 class QueueOrder {
  public:
   using Queues = std::map<std::string, std::vector<bookkeeping::Job*>>;  // by team
@@ -42,7 +42,7 @@
   double time_left(const bookkeeping::Job& job) const;
   /// Seconds that a job should take from the moment when it is ready, with the transfer of its image.
   double expected_duration(const bookkeeping::Job& job) const;
-  /// An array of which nothing has run for `kArrayLongestWaitS`: it has to begin.
+  /// An array of which nothing has run for `kArrayOverdueWaitS`: it has to begin.
   bool waited_too_long(const bookkeeping::Job& job) const;
   /// `tasks`: how many would be placed at once.
   Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -91,7 +91,7 @@
 
 void Scheduler::update_tiers() {
   if (context_.now.steady < next_tiers_) return;
-  next_tiers_ = context_.now.steady + c::kTiersEveryS;
+  next_tiers_ = context_.now.steady + c::kArrayTierIntervalS;
   dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
   assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
 }
@@ -101,7 +101,7 @@
 // One line whenever the reason changes for which a job with nothing placed waits.
 void Scheduler::log_wait_reasons() {
   if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_log_) return;
-  next_log_ = context_.now.steady + c::kLogWaitsEveryS;
+  next_log_ = context_.now.steady + c::kWaitReasonLogIntervalS;
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kActive || !job->runs.empty() || !job->reservations.empty()) continue;
     const char* why = why_waiting(*job);
@@ -126,7 +126,7 @@
     round_wanted_ = true;
   }
   if (now >= next_watch_) {
-    next_watch_ = now + c::kWatchEveryS;
+    next_watch_ = now + c::kLivenessCheckIntervalS;
     watch_machines();
   }
   send_stops();
@@ -136,7 +136,7 @@
   direct_.send_planned_probes();
   machine_records_.write_due();
   if (now >= next_sweep_) {
-    next_sweep_ = now + c::kSweepEveryS;
+    next_sweep_ = now + c::kJobSweepIntervalS;
     unreconciled_.charge_quota_if_changed();
     sweep_jobs();
     change_log_.delete_uncollected();
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -235,7 +235,9 @@
   void stop_gang(bookkeeping::Job& job, StopMode mode, const char* why);
   void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace);
   void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
-  std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
+  std::uint64_t next_attempt() {
+    return (election_.term() << constants::kAttemptCounterBits) | ++attempt_counter_;
+  }
   // ---- direct commands ----
   void direct_command_failed(bookkeeping::Machine& machine);
   void direct_command_answered(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -64,7 +64,7 @@
   reload_ = false;
 }
 
-std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptBits) | ++epochs_; }
+std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptCounterBits) | ++epochs_; }
 
 // No lessee that was answered by now takes its lease for valid after this, whatever the two clocks drift.
 double Lessor::lease_end(double now) const {
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -70,7 +70,7 @@
   std::string reason;
   if (record == nullptr)
     reason = std::get<RecordError>(decoded).reason;
-  else if ((record->epoch >> c::kAttemptBits) > term_)
+  else if ((record->epoch >> c::kAttemptCounterBits) > term_)
     reason = "its epoch is of a later term";
   else if (!stored.key.starts_with(kLeaseRecordPrefix + record->member + "/"))
     reason = "it names another member than its key";
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -436,7 +436,7 @@
 }
 
 TEST_F(LessorTest, RecordsCountInFullUntilTheirLeasesWouldBeOver) {
-  begin({stored({"m-1", (2u << c::kAttemptBits) | 1, kIncarnation, {{"red", cpus(10), 7}}})});
+  begin({stored({"m-1", (2u << c::kAttemptCounterBits) | 1, kIncarnation, {{"red", cpus(10), 7}}})});
   EXPECT_FALSE(lessor.permits(job(1, 7, 1, true), 7, 0, 0, 0));
   EXPECT_TRUE(lessor.permits(job(1, 6, 1, true), 6, 0, 0, 0));
   now += LeaseOptions{}.ttl_s + 1;
@@ -445,8 +445,8 @@
 }
 
 TEST_F(LessorTest, RecordsThatMakeNoSenseCountAsAllTaken) {
-  auto future = stored({"m-1", (9u << c::kAttemptBits) | 1, kIncarnation, {{"red", cpus(1), 7}}});
-  auto moved = stored({"m-2", (2u << c::kAttemptBits) | 1, kIncarnation, {{"red", cpus(1), 7}}});
+  auto future = stored({"m-1", (9u << c::kAttemptCounterBits) | 1, kIncarnation, {{"red", cpus(1), 7}}});
+  auto moved = stored({"m-2", (2u << c::kAttemptCounterBits) | 1, kIncarnation, {{"red", cpus(1), 7}}});
   moved.key = lease_key("m-1", 0);
   const std::vector<StoredLease> bad{{"q/m-1/0", 5, boost::json::parse("{\"member\":3}")},
                                      future,
@@ -466,16 +466,16 @@
 }
 
 TEST_F(LessorTest, LeasesOfUnknownTeamsAndMembersAreHarmless) {
-  begin({stored({"m-9", (2u << c::kAttemptBits) | 1, kIncarnation, {{"gone", cpus(500), 7}}})});
+  begin({stored({"m-9", (2u << c::kAttemptCounterBits) | 1, kIncarnation, {{"gone", cpus(500), 7}}})});
   lessor.tick(now + 1);
   EXPECT_TRUE(lessor.permits(job(1, 16, 1, true), 16, 0, 0, 0));
   EXPECT_EQ(lessor.audit(), "");
 }
 
 TEST_F(LessorTest, PartsBeyondALoweredLimitAreRecalled) {
-  begin({stored({"m-1", (2u << c::kAttemptBits) | 1, kIncarnation, {{"red", cpus(20), 7}}})});
+  begin({stored({"m-1", (2u << c::kAttemptCounterBits) | 1, kIncarnation, {{"red", cpus(20), 7}}})});
   auto message = hello();
-  message.epoch = (2u << c::kAttemptBits) | 1;
+  message.epoch = (2u << c::kAttemptCounterBits) | 1;
   send_to_lessor(message);
   send_to_lessor(say(0));
   ASSERT_EQ(reply.parts.size(), 1u);
