--- a/src/bookkeeping/resources.hpp
+++ b/src/bookkeeping/resources.hpp
@@ -24,9 +24,9 @@
            memory_gb + constants::kAmountRounding >= spec.memory_gb * tasks;
   }
 
-  /// How many tasks of the job fit, at most constants::kPiecesMax.
+  /// How many tasks of the job fit, at most constants::kTasksPerJobMax.
   std::uint32_t tasks_of(const protocol::JobSpec& spec) const {
-    double most = constants::kPiecesMax;
+    double most = constants::kTasksPerJobMax;
     const auto limit = [&](double have, double need) {
       if (need > 0) most = std::min(most, std::max(0.0, have + constants::kAmountRounding) / need);
     };
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -62,7 +62,7 @@
   set_rates();
 }
 
-bool StateClient::reachable(double now) const { return now - last_answer_ < constants::kStateFreshS; }
+bool StateClient::reachable(double now) const { return now - last_answer_ < constants::kStateReachableS; }
 
 void StateClient::tick(double now) {
   now_ = now;
@@ -84,7 +84,7 @@
 void StateClient::send_queued() {
   while (!queue_.empty()) {
     // Whoever asked has given up by now: a flood of polls must not spend the budget on answers for nobody.
-    if (now_ - queue_.front().since > constants::kStateTimeoutS) {
+    if (now_ - queue_.front().since > constants::kStateCallTimeoutS) {
       const auto answered = std::move(queue_.front().answered);
       queue_.pop_front();
       answered({state_status::kThrottled, ""});
@@ -127,7 +127,7 @@
 }
 
 void StateClient::read(const std::string& key, std::function<void(const StateRead&)> done, Urgency urgency) {
-  call(urgency, "GET", std::string(n::kPathStore) + "/" + key, "", 0, constants::kStateTimeoutS,
+  call(urgency, "GET", std::string(n::kPathStore) + "/" + key, "", 0, constants::kStateCallTimeoutS,
        [done = std::move(done)](const CallResult& result) { done(parse_read(result)); });
 }
 
@@ -136,7 +136,7 @@
   std::string target = std::string(n::kPathStore) + "?" + n::kQueryPrefix + "=" + prefix;
   if (!after.empty()) target += std::string("&") + n::kQueryAfter + "=" + after;
   target += std::string("&") + n::kQueryLimit + "=" + std::to_string(constants::kStatePageItems);
-  call(Urgency::kFirst, "GET", target, "", 0, constants::kLoadTimeoutS,
+  call(Urgency::kFirst, "GET", target, "", 0, constants::kStatePageTimeoutS,
        [done = std::move(done)](const CallResult& result) { done(parse_page(result)); });
 }
 
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -64,7 +64,7 @@
   /// Share of the own budget that is used since the service answered 429, up to 1.
   double pace() const { return pace_; }
 
-  /// An answer other than 503 came within constants::kStateFreshS.
+  /// An answer other than 503 came within constants::kStateReachableS.
   bool reachable(double now) const;
   /// Whether a call with so many writes would be sent at once.
   bool writes_ready(int writes) const {
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -180,7 +180,7 @@
   const int writes = static_cast<int>(body.at(n::kOperations).get_array().size());
   ++in_flight_;
   state_.call(StateClient::Urgency::kNormal, "POST", n::kPathTxn, json::serialize(body), writes,
-              constants::kStateTimeoutS,
+              constants::kStateCallTimeoutS,
               [this, units = std::move(units), generation = generation_](const protocol::CallResult& result) {
                 on_answer(units, generation, result);
               });
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -45,7 +45,7 @@
 bool Election::valid() const { return role_ == Role::kLeading && context_.now.steady < valid_until_; }
 
 bool Election::owns_fencing_token() const {
-  return leads(role_) && context_.now.steady < last_renewed_ + c::kDegradedBoundS * (1 - c::kClockDrift);
+  return leads(role_) && context_.now.steady < last_renewed_ + c::kDegradedAnswerMaxS * (1 - c::kClockDrift);
 }
 
 bool Election::answers() const {
@@ -209,7 +209,7 @@
   json::object body;
   body[n::kTtlMs] = c::kLeaderTtlMs;
   context_.state.call(StateClient::Urgency::kLease, "POST", n::kPathLeases, json::serialize(body), 0,
-                      c::kRenewTimeoutS,
+                      c::kLeaderLeaseCallTimeoutS,
                       [this, role_changes = role_changes_, campaign](const CallResult& result) mutable {
                         if (role_changes != role_changes_) return;
                         const auto value = protocol::parse_json(result.body);
@@ -251,7 +251,7 @@
   body[n::kConditions] = std::move(conditions);
   body[n::kOperations] = std::move(changes);
   context_.state.call(StateClient::Urgency::kLease, "POST", n::kPathTxn, json::serialize(body), 2,
-                      c::kRenewTimeoutS,
+                      c::kLeaderLeaseCallTimeoutS,
                       [this, role_changes = role_changes_, campaign](const CallResult& result) {
                         if (role_changes == role_changes_) on_leader_key_written(campaign, result);
                       });
@@ -291,7 +291,7 @@
   leader_ = context_.settings.member;
   last_renewed_ = campaign.lease_sent_at;
   valid_until_ = lease_valid_until();
-  next_try_ = campaign.lease_sent_at + c::kRenewEveryS;
+  next_try_ = campaign.lease_sent_at + c::kLeaderRenewIntervalS;
   former_leaders_.on_term_begun();
   become(Role::kLeading);
 }
@@ -299,14 +299,14 @@
 // ---------------------------------------------------------------- the lease
 
 double Election::lease_valid_until() const {
-  return last_renewed_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
+  return last_renewed_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kLeaderLeaseMarginS;
 }
 
 void Election::renew_lease() {
   const double sent_at = context_.now.steady;
-  next_try_ = sent_at + c::kRenewEveryS;
+  next_try_ = sent_at + c::kLeaderRenewIntervalS;
   const std::string target = std::string(n::kPathLeases) + "/" + std::to_string(lease_) + n::kPathRenew;
-  context_.state.call(StateClient::Urgency::kLease, "POST", target, "", 0, c::kRenewTimeoutS,
+  context_.state.call(StateClient::Urgency::kLease, "POST", target, "", 0, c::kLeaderLeaseCallTimeoutS,
                       [this, lease = lease_, sent_at](const CallResult& result) {
                         if (lease != lease_ || !leads(role_)) return;
                         if (result.status == 200) return on_renewed(sent_at);
@@ -323,7 +323,7 @@
 
 void Election::revoke_lease(std::uint64_t lease) {
   const std::string target = std::string(n::kPathLeases) + "/" + std::to_string(lease);
-  context_.state.call(StateClient::Urgency::kLease, "DELETE", target, "", 0, c::kRenewTimeoutS,
+  context_.state.call(StateClient::Urgency::kLease, "DELETE", target, "", 0, c::kLeaderLeaseCallTimeoutS,
                       [](const CallResult&) {});
 }
 
--- a/src/coordination/election/former_leaders.cpp
+++ b/src/coordination/election/former_leaders.cpp
@@ -13,7 +13,7 @@
   last_member_ = last.member;
   last_incarnation_ = last.incarnation;
   // An older version does not say its bound, and goes by this one.
-  last_answer_s_ = last.answer_ms ? static_cast<double>(*last.answer_ms) / 1000 : c::kDegradedBoundS;
+  last_answer_s_ = last.answer_ms ? static_cast<double>(*last.answer_ms) / 1000 : c::kDegradedAnswerMaxS;
   // An older version answers without regard to such records: the count begins anew with this leader.
   records_since_ = last.records_since > 0 ? last.records_since : last.term + 1;
   before_last_wall_ms_ = last.former_stopped_wall_ms;
@@ -42,7 +42,7 @@
 double FormerLeaders::stopped_at() const { return std::max(last_stopped_at_, before_last_stopped_at_); }
 
 double FormerLeaders::started_wall_ms(std::uint64_t incarnation) const {
-  return static_cast<double>(incarnation >> c::kIncarnationBits);
+  return static_cast<double>(incarnation >> c::kIncarnationRandomBits);
 }
 
 void FormerLeaders::on_status(const protocol::PeerMessage& status, std::uint64_t own_term) {
--- a/src/coordination/election/peer_versions.cpp
+++ b/src/coordination/election/peer_versions.cpp
@@ -30,7 +30,7 @@
 void PeerVersions::tick() {
   if (call_in_flight_ || context_.now.steady < next_look_) return;
   if (registered_ && complete_ && all_present_are_registered()) return;
-  next_look_ = context_.now.steady + c::kVersionsEveryS;
+  next_look_ = context_.now.steady + c::kVersionsReadIntervalS;
   if (!registered_) return register_self();
   read_registry();
 }
@@ -79,7 +79,7 @@
                          [this](WriteOutcome outcome, std::uint64_t) {
                            call_in_flight_ = false;
                            registered_ = outcome == WriteOutcome::kDone;
-                           next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
+                           next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsReadIntervalS);
                          });
 }
 
--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -15,9 +15,9 @@
   const double now = context_.now.steady;
   const double cancel_s = context_.settings.cancel_s;
   const double lease_s = context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
-  const double patience =
-      std::max(c::kOverdueShare / 2 * cancel_s,
-               std::min(std::max(c::kOverdueShare * cancel_s, lease_s), cancel_s - c::kOverdueLeadS));
+  const double patience = std::max(
+      c::kCancelPatienceShare / 2 * cancel_s,
+      std::min(std::max(c::kCancelPatienceShare * cancel_s, lease_s), cancel_s - c::kCancelReturnLeadS));
   const double age_s =
       job.cancelled_ms > 0 ? std::max(0.0, (context_.now.wall_ms - job.cancelled_ms) / 1000.0) : 0.0;
   const double cancelled_at = now - age_s;
@@ -29,7 +29,7 @@
     const double round_end =
         leader_since +
         2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS);
-    const double last = cancelled_at + cancel_s - c::kOverdueLastS;
+    const double last = cancelled_at + cancel_s - c::kNewLeaderCancelReturnLeadS;
     deadline = std::max(deadline, last > now ? std::min(round_end, last) : round_end);
   }
   machine.overdue.emplace(job.spec.id, deadline);
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -137,12 +137,12 @@
 
 void ChangeLog::start_read_if_due() {
   if (reading_) return;
-  const double shortest_pause_s = c::kChangeLogCalls / context_.settings.state_rps;
+  const double shortest_pause_s = c::kChangeLogCallsPerRead / context_.settings.state_rps;
   double pause_s = c::kLedgerReadRetryS;
   if (!waiting_for_next_.empty())
-    pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
+    pause_s = std::min(shortest_pause_s, c::kChangeLogReadIntervalS);
   else if (election_.caught_up())
-    pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
+    pause_s = std::max(c::kChangeLogReadIntervalS, shortest_pause_s);
   if (context_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
   read_began_ = context_.now.steady;
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -68,7 +68,7 @@
   next_read_ = context_.now.steady + c::kLedgerReadRetryS;
   std::vector<JobId> to_read;
   for (const auto id : unknown_)
-    if (to_read.size() + reading_.size() < c::kDependencyReads && !reading_.contains(id))
+    if (to_read.size() + reading_.size() < c::kDependencyReadsInFlightMax && !reading_.contains(id))
       to_read.push_back(id);
   for (const auto id : to_read) read(id);
 }
@@ -94,7 +94,7 @@
       case JobLookup::Known::What::kNever:
         if (missing_.insert(id).second)
           spdlog::error("jobs wait for {}, of which there is no record", protocol::job_id_text(id));
-        next_read_ = context_.now.steady + c::kVersionsEveryS;
+        next_read_ = context_.now.steady + c::kVersionsReadIntervalS;
         return;
       case JobLookup::Known::What::kUnknown:
         return;
--- a/src/coordination/routing/announcement_log.cpp
+++ b/src/coordination/routing/announcement_log.cpp
@@ -14,7 +14,7 @@
   const std::uint64_t number = last_number() + 1;
   if (!numbers_.emplace(id, number).second) return std::nullopt;
   jobs_.push_back(id);
-  if (jobs_.size() > c::kAnnouncedKept) {
+  if (jobs_.size() > c::kAnnouncedCancellationsMax) {
     numbers_.erase(jobs_.front());
     jobs_.pop_front();
     ++first_kept_;
@@ -32,7 +32,7 @@
   Batch batch;
   batch.first = std::max(number + 1, first_kept_);
   const auto begin = jobs_.begin() + static_cast<std::ptrdiff_t>(batch.first - first_kept_);
-  const auto count = std::min<std::ptrdiff_t>(c::kAnnouncedBatch, jobs_.end() - begin);
+  const auto count = std::min<std::ptrdiff_t>(c::kAnnouncedPerMessageMax, jobs_.end() - begin);
   batch.jobs.assign(begin, begin + count);
   return batch;
 }
--- a/src/coordination/routing/announcement_log.hpp
+++ b/src/coordination/routing/announcement_log.hpp
@@ -13,8 +13,8 @@
 namespace robinford::coordination {
 
 /// Numbers announced cancellations from 1 in the order in which they were announced, and keeps the last
-/// `kAnnouncedKept` of them for members that missed them. A member that lags further can't be brought up to
-/// date message by message: its chain keeps a gap, which only a read of the change log closes.
+/// `kAnnouncedCancellationsMax` of them for members that missed them. A member that lags further can't be
+/// brought up to date message by message: its chain keeps a gap, which only a read of the change log closes.
 class AnnouncementLog {
  public:
   /// Consecutive entries of the log.
@@ -29,7 +29,7 @@
   std::uint64_t last_number() const { return first_kept_ + jobs_.size() - 1; }
   /// The job's number, if it is kept.
   std::optional<std::uint64_t> number_of(protocol::JobId id) const;
-  /// The kept entries after `number`, at most `kAnnouncedBatch` of them; there is at least one.
+  /// The kept entries after `number`, at most `kAnnouncedPerMessageMax` of them; there is at least one.
   Batch batch_after(std::uint64_t number) const;
 
  private:
--- a/src/coordination/routing/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -24,7 +24,7 @@
 
 /// When a process started, by its own wall clock, in seconds since 1970.
 double started_by_wall_clock(std::uint64_t incarnation) {
-  return static_cast<double>(incarnation >> c::kIncarnationBits) / kMsPerS;
+  return static_cast<double>(incarnation >> c::kIncarnationRandomBits) / kMsPerS;
 }
 
 }  // namespace
@@ -32,8 +32,8 @@
 Cancellations::Cancellations(const protocol::Settings& settings) {
   const double spare_s =
       (settings.cancel_s - settings.lease_s) * (1 - 2 * c::kClockDrift) - c::kCancellationMarginS;
-  strict_ = spare_s < c::kLeastAnswerS;
-  answer_s_ = strict_ ? c::kStrictAnswerS : std::min(spare_s, c::kDegradedBoundS);
+  strict_ = spare_s < c::kDegradedAnswerMinS;
+  answer_s_ = strict_ ? c::kStrictAnswerMaxS : std::min(spare_s, c::kDegradedAnswerMaxS);
   clock_error_s_ = settings.clock_error_ms / kMsPerS;
   for (const auto& peer : settings.peers) peers_[peer.member];
 }
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -29,7 +29,7 @@
   probe.term = election_.term();
   const std::string follower = peers_.next_direct_call_follower(context_.now.steady);
   if (follower.empty()) return carry_out(probe);
-  delegated_[call.id] = context_.now.steady + c::kDelegateS;
+  delegated_[call.id] = context_.now.steady + c::kDelegatedCallTimeoutS;
   frames_.send(follower, std::move(probe));
 }
 
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -61,7 +61,7 @@
   PendingRequest request;
   request.kind = PendingRequest::Kind::kHeartbeat;
   request.peer = PendingRequest::PeerOrigin{message.member, message.request};
-  request.deadline = context_.now.steady + c::kParkS;
+  request.deadline = context_.now.steady + c::kHeartbeatParkTimeoutS;
   const RequestKey key = pending_.add(std::move(request));
   const protocol::Heartbeat& heartbeat = message.heartbeat;
   if (scheduler_.phase() == LeaderPhase::kNone) return refuse_heartbeat(key, kNotLeading);
--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -76,7 +76,7 @@
       return finish_as_cancelled(walk);
     }
     // A user's poll must not cost the state service any number of reads.
-    if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
+    if (walk->seen.size() > c::kDependencyWalkReadsMax) return walk->done({});
     return own_records(next, [this, walk](const Known& known) { on_dependency_read(walk, known); });
   }
   walk->done(walk->live);
--- a/src/coordination/routing/job_lookup.hpp
+++ b/src/coordination/routing/job_lookup.hpp
@@ -34,7 +34,7 @@
   void own_records(protocol::JobId id, Done done);
   /// The job's state: it is also cancelled while any job is that it needs, directly or through others. This
   /// is derived from the records, so no write has to follow a cancellation before it is the answer
-  /// everywhere. kUnknown also if the job needs more than `kDependencyWalkMost` others.
+  /// everywhere. kUnknown also if the job needs more than `kDependencyWalkReadsMax` others.
   void state_with_dependencies(protocol::JobId id, Done done);
 
  private:
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -78,7 +78,7 @@
 void JobRequests::cancel(JobId id, const UserReply& reply) {
   if (const auto state = context_.jobs.final_state(id)) return reply(final_state_answer(id, *state));
   Job* job = leading() ? context_.jobs.find(id) : nullptr;
-  if (job == nullptr) return cancel_on_records(id, c::kAbortTries, reply);
+  if (job == nullptr) return cancel_on_records(id, c::kCancelWriteAttempts, reply);
   // Registered first: with a final state on its way the answer is whichever becomes durable.
   cancelling_[id].push_back(reply);
   scheduler_.cancel(*job);
--- a/src/coordination/routing/peer_frames.cpp
+++ b/src/coordination/routing/peer_frames.cpp
@@ -14,7 +14,7 @@
   message.term = election_.term();
   std::string& frame = unsent_[member];
   protocol::put_message(frame, message);
-  if (frame.size() >= constants::kBatchBytes) flush(member);
+  if (frame.size() >= constants::kPeerBatchBytes) flush(member);
 }
 
 void PeerFrames::flush(const std::string& member) {
--- a/src/coordination/routing/peer_frames.hpp
+++ b/src/coordination/routing/peer_frames.hpp
@@ -12,7 +12,7 @@
 namespace robinford::coordination {
 
 /// Owns one unsent frame for each other controller. Messages travel together, one frame a tick, because each
-/// packet costs more than the bytes in it; a frame of `kBatchBytes` or more leaves at once.
+/// packet costs more than the bytes in it; a frame of `kPeerBatchBytes` or more leaves at once.
 class PeerFrames {
  public:
   PeerFrames(ControllerContext& context, const Election& election) : context_(context), election_(election) {}
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -45,7 +45,7 @@
   std::string best;
   std::uint64_t best_term = 0;
   for (const auto& [member, peer] : peers_) {
-    if (!peer.linked || !peer.leading || silence(peer, now) > c::kPeerFreshS || peer.term < best_term)
+    if (!peer.linked || !peer.leading || silence(peer, now) > c::kPeerStatusFreshS || peer.term < best_term)
       continue;
     best = member;
     best_term = peer.term;
@@ -55,24 +55,24 @@
 
 bool PeerTable::any_in_contact(double now) const {
   return std::any_of(peers_.begin(), peers_.end(),
-                     [now](const auto& entry) { return silence(entry.second, now) < c::kPeerFreshS; });
+                     [now](const auto& entry) { return silence(entry.second, now) < c::kPeerStatusFreshS; });
 }
 
 bool PeerTable::has_ready_leader(double now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
     const Peer& peer = entry.second;
-    return silence(peer, now) <= c::kPeerFreshS && peer.linked && peer.leading && peer.ready;
+    return silence(peer, now) <= c::kPeerStatusFreshS && peer.linked && peer.leading && peer.ready;
   });
 }
 
 bool PeerTable::any_reaches_state(double now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
-    return silence(entry.second, now) <= c::kPeerFreshS && entry.second.state_ok;
+    return silence(entry.second, now) <= c::kPeerStatusFreshS && entry.second.state_ok;
   });
 }
 
 bool PeerTable::is_fresh_follower(const Peer& peer, double now) {
-  return peer.linked && !peer.leading && silence(peer, now) < c::kPeerFreshS;
+  return peer.linked && !peer.leading && silence(peer, now) < c::kPeerStatusFreshS;
 }
 
 std::string PeerTable::next_heartbeat_follower(double now) {
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -12,7 +12,7 @@
 namespace robinford::coordination {
 
 /// Owns the last known state of each other controller. All times are seconds of the steady clock. A peer is
-/// fresh while its last status is no older than `kPeerFreshS`; an older status proves nothing.
+/// fresh while its last status is no older than `kPeerStatusFreshS`; an older status proves nothing.
 class PeerTable {
  public:
   /// One other controller, by its last status.
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -31,7 +31,7 @@
       job_requests_(parts.job_requests),
       peers_(parts.peers),
       frames_(parts.frames),
-      pending_((context_.random() >> c::kKeyBits) + 1),
+      pending_((context_.random() >> c::kRequestKeyShiftBits) + 1),
       forwarded_heartbeats_(context_.per_machine(c::kLastHeartbeatsPerMb)) {}
 
 // ---------------------------------------------------------------- requests by HTTP
@@ -47,7 +47,7 @@
   pending.target = path;
   pending.body = request.body;
   pending.token = request.token;
-  pending.deadline = context_.now.steady + c::kUserDeadlineS;
+  pending.deadline = context_.now.steady + c::kUserRequestTimeoutS;
   route(pending_.add(std::move(pending)));
   return Admission::kAdmitted;
 }
@@ -57,7 +57,7 @@
   pending.kind = PendingRequest::Kind::kHeartbeat;
   pending.heartbeat = std::move(heartbeat);
   pending.token = token;
-  pending.deadline = context_.now.steady + c::kParkS;
+  pending.deadline = context_.now.steady + c::kHeartbeatParkTimeoutS;
   route(pending_.add(std::move(pending)));
 }
 
@@ -68,7 +68,7 @@
     heartbeats_in_window_ = 0;
   }
   ++heartbeats_in_window_;
-  const auto limit = static_cast<std::size_t>(context_.settings.cpu_share * c::kDirectHeartbeatsPerCore);
+  const auto limit = static_cast<std::size_t>(context_.settings.cpu_share * c::kOwnHeartbeatRatePerCore);
   return heartbeats_in_window_ <= limit ? std::string() : peers_.next_heartbeat_follower(now);
 }
 
@@ -102,12 +102,13 @@
 // A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
 void RequestRouter::park(RequestKey key) {
   if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
-  if (pending_.parked() >= context_.per_machine(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.parked() >= context_.per_machine(c::kParkedHeartbeatsPerMb)) return refuse_heartbeat(key, 503);
   pending_.park(key);
 }
 
 void RequestRouter::forward_heartbeat(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_machine(c::kForwardPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.forwarded() >= context_.per_machine(c::kForwardedRequestsPerMb))
+    return refuse_heartbeat(key, 503);
   const PendingRequest& request = pending_.at(key);
   pending_.forward(key, leader, request.deadline);
   PeerMessage message;
@@ -124,7 +125,7 @@
 }
 
 void RequestRouter::forward_user_request(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_memory(c::kForwardPerMb))
+  if (pending_.forwarded() >= context_.per_memory(c::kForwardedRequestsPerMb))
     return answer(key, 503, c::kRetryAfterS, protocol::error_json("too many requests"));
   const PendingRequest& request = pending_.at(key);
   if (request.target == n::kPathJobs) quota_leases_.grant_submission(leader, request.body);
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -20,7 +20,7 @@
 
 // A bounded list of job ids, sorted, each once.
 std::optional<std::vector<JobId>> job_ids(const json::value& value) {
-  if (!value.is_array() || value.get_array().size() > constants::kDependenciesMost) return std::nullopt;
+  if (!value.is_array() || value.get_array().size() > constants::kDependenciesPerJobMax) return std::nullopt;
   std::vector<JobId> ids;
   for (const auto& item : value.get_array()) {
     if (!item.is_string()) return std::nullopt;
@@ -77,7 +77,7 @@
   }
   if (!known) return bad(n::kPriority);
   const auto tasks = whole(object, n::kTasks);
-  if (!tasks || *tasks < 1 || *tasks > constants::kPiecesMax) return bad(n::kTasks);
+  if (!tasks || *tasks < 1 || *tasks > constants::kTasksPerJobMax) return bad(n::kTasks);
   spec.tasks = static_cast<std::uint32_t>(*tasks);
   const auto take_amount = [&](const char* key, double& into) {
     const auto found = amount(object, key);
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -60,7 +60,7 @@
   if (slash == std::string_view::npos) return std::nullopt;
   const auto job = parse_job_id(text.substr(0, slash));
   const auto index = digits(text.substr(slash + 1));
-  if (!job || !index || *index >= constants::kPiecesMax) return std::nullopt;
+  if (!job || !index || *index >= constants::kTasksPerJobMax) return std::nullopt;
   return TaskId{*job, static_cast<std::uint32_t>(*index)};
 }
 
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -86,7 +86,7 @@
   for (; count > 0; --count) {
     TaskStatus task;
     std::uint64_t index = 0, bits = 0;
-    if (!take_number(in, task.task.job) || !take_number(in, index) || index >= constants::kPiecesMax ||
+    if (!take_number(in, task.task.job) || !take_number(in, index) || index >= constants::kTasksPerJobMax ||
         !take_number(in, task.attempt) || !take_number(in, bits) || bits > 255)
       return false;
     const auto phase = bits & 7, why = (bits >> 3) & 15;
@@ -121,8 +121,8 @@
     Command command;
     std::uint64_t op = 0, index = 0, grace = 0;
     if (!take_number(in, op) || op > static_cast<std::uint64_t>(Command::Op::kClear) ||
-        !take_number(in, command.task.job) || !take_number(in, index) || index >= constants::kPiecesMax ||
-        !take_number(in, command.attempt))
+        !take_number(in, command.task.job) || !take_number(in, index) ||
+        index >= constants::kTasksPerJobMax || !take_number(in, command.attempt))
       return false;
     command.op = static_cast<Command::Op>(op);
     command.task.index = static_cast<std::uint32_t>(index);
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -34,7 +34,7 @@
   }
   std::uint32_t tasks() {
     const auto value = number();
-    good_ = good_ && value <= constants::kPiecesMax;
+    good_ = good_ && value <= constants::kTasksPerJobMax;
     return good_ ? static_cast<std::uint32_t>(value) : 0;
   }
   Amount amount() {
--- a/tests/bookkeeping/writer_test.cpp
+++ b/tests/bookkeeping/writer_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_TRUE(std::any_of(b.out.calls.begin(), b.out.calls.end(),
                           [](const auto& call) { return call.target == names::kPathTxn; }));
   const auto sent = b.out.calls.size();
-  b.step(constants::kStateTimeoutS + 1);
+  b.step(constants::kStateCallTimeoutS + 1);
   EXPECT_GT(given_up, 150);
   EXPECT_LT(b.out.calls.size(), sent + 2);
 }
--- a/tests/coordination/cancellations_test.cpp
+++ b/tests/coordination/cancellations_test.cpp
@@ -8,8 +8,8 @@
 namespace robinford::coordination {
 namespace {
 
-constexpr std::uint64_t kStarted = std::uint64_t{1'700'000'000'000} << constants::kIncarnationBits;
-constexpr std::uint64_t kLater = std::uint64_t{1'700'000'010'000} << constants::kIncarnationBits;
+constexpr std::uint64_t kStarted = std::uint64_t{1'700'000'000'000} << constants::kIncarnationRandomBits;
+constexpr std::uint64_t kLater = std::uint64_t{1'700'000'010'000} << constants::kIncarnationRandomBits;
 
 protocol::Settings site(const std::string& member, double lease_s = 10, double cancel_s = 35) {
   protocol::Settings s;
@@ -189,12 +189,13 @@
 }
 
 TEST_F(ThreeMembers, WhatIsKeptIsBounded) {
-  for (std::uint64_t job = 1; job <= constants::kAnnouncedKept + 10; ++job) b.cancellations.announce(job);
-  EXPECT_EQ(b.cancellations.announced(), constants::kAnnouncedKept + 10);
+  for (std::uint64_t job = 1; job <= constants::kAnnouncedCancellationsMax + 10; ++job)
+    b.cancellations.announce(job);
+  EXPECT_EQ(b.cancellations.announced(), constants::kAnnouncedCancellationsMax + 10);
   const auto first = b.cancellations.unacknowledged("a");
   ASSERT_TRUE(first);
   EXPECT_EQ(first->first, 11u);
-  EXPECT_LE(first->jobs.size(), constants::kAnnouncedBatch);
+  EXPECT_LE(first->jobs.size(), constants::kAnnouncedPerMessageMax);
   // A leader that was never brought that far is not told that it was.
   a.cancellations.elected();
   auto announced = *first;
@@ -208,7 +209,7 @@
 TEST(AnswerBound, FollowsFromTheSite) {
   EXPECT_NEAR(Cancellations(site("a", 10, 35)).answer_s(), 25 - constants::kCancellationMarginS, 0.1);
   EXPECT_FALSE(Cancellations(site("a", 44, 74)).strict());
-  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kDegradedBoundS);
+  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kDegradedAnswerMaxS);
   EXPECT_TRUE(Cancellations(site("a", 30, 31)).strict());
   EXPECT_TRUE(Cancellations(site("a", 60, 30)).strict());
 }
--- a/tests/coordination/dependencies_test.cpp
+++ b/tests/coordination/dependencies_test.cpp
@@ -163,7 +163,7 @@
 TEST_F(WaitingJobs, ReadsAreBounded) {
   for (JobId id = 0; id < 100; ++id) add(1000 + id, {100 + id});
   step();
-  EXPECT_EQ(core.out.calls.size(), constants::kDependencyReads);
+  EXPECT_EQ(core.out.calls.size(), constants::kDependencyReadsInFlightMax);
 }
 
 }  // namespace
