--- a/src/coordination/fleet/boot_times.cpp
+++ b/src/coordination/fleet/boot_times.cpp
@@ -11,16 +11,18 @@
 void BootTimes::record(const std::string& type, double seconds) {
   auto& recent = recent_[type];
   recent.push_back(seconds);
-  if (recent.size() > c::kBootsKept) recent.pop_front();
+  if (recent.size() > c::kBootSamplesMax) recent.pop_front();
 }
 
 double BootTimes::late_after(const protocol::MachineType& type) const {
   const auto found = recent_.find(type.name);
-  if (found == recent_.end() || found->second.size() < c::kBootsEnough) return c::kBootUsual * type.boot_s;
+  if (found == recent_.end() || found->second.size() < c::kBootSamplesMin)
+    return c::kDefaultUsualBootFactor * type.boot_s;
   std::vector<double> sorted(found->second.begin(), found->second.end());
   const auto most = sorted.begin() + static_cast<std::ptrdiff_t>(c::kBootQuantile * (sorted.size() - 1));
   std::nth_element(sorted.begin(), most, sorted.end());
-  return std::clamp(*most * c::kBootLate, c::kBootLate * type.boot_s, c::kBootFactor * type.boot_s);
+  return std::clamp(*most * c::kLateBootFactor, c::kLateBootFactor * type.boot_s,
+                    c::kBootTimeoutFactor * type.boot_s);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -54,7 +54,7 @@
   budget_.take(1);
   context_.metrics.count("cloud_calls");
   context_.calls.send(
-      {0, protocol::Service::kCloud, "", method, target, std::move(body), c::kCloudTimeoutS, false},
+      {0, protocol::Service::kCloud, "", method, target, std::move(body), c::kCloudCallTimeoutS, false},
       [this, generation = generation_, answered = std::move(answered)](const CallResult& result) {
         if (generation == generation_) answered(result);
       });
@@ -73,7 +73,7 @@
 
 bool CloudClient::catalog_is_due() const {
   if (catalog_in_flight_) return false;
-  const double pause_s = context_.types.empty() ? 0 : c::kCatalogEveryS;
+  const double pause_s = context_.types.empty() ? 0 : c::kCatalogReadIntervalS;
   return context_.now.steady >= next_catalog_ + pause_s;
 }
 
@@ -110,9 +110,9 @@
 
 void CloudClient::read_machine_list(const std::string& after) {
   list_in_flight_ = true;
-  next_list_ = context_.now.steady + c::kListEveryS;
+  next_list_ = context_.now.steady + c::kMachineListIntervalS;
   std::string target =
-      std::string(n::kPathMachines) + "?" + n::kQueryLimit + "=" + std::to_string(c::kListPage);
+      std::string(n::kPathMachines) + "?" + n::kQueryLimit + "=" + std::to_string(c::kMachineListPageItems);
   if (!after.empty()) target += std::string("&") + n::kQueryAfter + "=" + after;
   call("GET", target, "", [this](const CallResult& result) {
     list_in_flight_ = false;
@@ -145,12 +145,12 @@
 }
 
 void CloudClient::provision(const CapacityPool& pool, int count) {
-  for (int left = count; left > 0; left -= c::kProvisionMax) {
+  for (int left = count; left > 0; left -= c::kProvisionRequestMachinesMax) {
     ProvisioningRequest request;
     // Unique over terms, and so over processes: a term has one leader.
     request.name = "r-" + std::to_string(election_.term()) + "-" + std::to_string(++request_counter_);
     request.pool = pool;
-    request.count = std::min(left, c::kProvisionMax);
+    request.count = std::min(left, c::kProvisionRequestMachinesMax);
     spdlog::info("provisioning {} x {}", request.count, to_text(pool));
     requests_.push_back(std::move(request));
   }
@@ -214,21 +214,21 @@
 }
 
 void CloudClient::refuse(const CapacityPool& pool) {
-  refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
+  refused_until_[pool] = context_.now.steady + c::kNoCapacityBackoffS;
 }
 
 void CloudClient::return_machines(ReturnScope scope) {
   if (return_in_flight_ || !budget_.covers(1) || context_.now.steady < next_return_) return;
   std::vector<std::string> names;
   for (const auto& [name, machine] : context_.machines.all()) {
-    if (names.size() >= c::kReturnMax) break;
+    if (names.size() >= c::kReturnRequestMachinesMax) break;
     if (machine.state != MachineState::kReturning) continue;
     if (scope == ReturnScope::kCancelledWorkOnly && machine.overdue.empty()) continue;
     names.push_back(name);
   }
   if (names.empty()) return;
   return_in_flight_ = true;
-  next_return_ = context_.now.steady + c::kFleetStepS;
+  next_return_ = context_.now.steady + c::kFleetReviewIntervalS;
   call("POST", n::kPathReturn, protocol::return_json(names), [this, names](const CallResult& result) {
     return_in_flight_ = false;
     if (result.status != 200) return;  // tried again at the next review
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -34,7 +34,7 @@
   // A degraded leader returns nothing but what may run cancelled work: users were promised that it ends.
   if (!election_.valid()) return cloud_.return_machines(ReturnScope::kCancelledWorkOnly);
   if (context_.now.steady >= next_review_) {
-    next_review_ = context_.now.steady + c::kFleetStepS;
+    next_review_ = context_.now.steady + c::kFleetReviewIntervalS;
     if (phase == LeaderPhase::kServing && !context_.types.empty()) review();
   }
   cloud_.send_due_call();
@@ -44,7 +44,7 @@
   zones_.update(scheduler_.serving_since());
   const PoolCounts missing = scale_out_.plan();
   if (context_.now.steady >= next_log_ && spdlog::should_log(spdlog::level::debug)) {
-    next_log_ = context_.now.steady + c::kFleetLogEveryS;
+    next_log_ = context_.now.steady + c::kFleetLogIntervalS;
     scale_out_.log_figures();
   }
   provision(missing);
@@ -58,7 +58,8 @@
 void Fleet::provision(const PoolCounts& missing) {
   for (const auto& [pool, count] : missing)
     if (!cloud_.has_request(pool))
-      cloud_.provision(pool, std::min(count, c::kProvisionMax * c::kProvisionsAtOnce));
+      cloud_.provision(pool,
+                       std::min(count, c::kProvisionRequestMachinesMax * c::kProvisionRequestsInFlightMax));
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -69,7 +69,7 @@
   // A few machines that send no heartbeats hold up the work of earlier leaders; many are a network fault that
   // will pass.
   view.few_unreconciled = scheduler_.unreconciled_machines() <=
-                          std::max<std::size_t>(c::kFewUnreconciled, known * c::kFewUnreconciledShare);
+                          std::max<std::size_t>(c::kFewUnreconciledMax, known * c::kFewUnreconciledShare);
   view.gangs_arrive = scheduler_.gang_rate() > 0;
   view.arrays_arrive = scheduler_.array_load(shortest_boot_s(context_)) > 0;
   return view;
@@ -77,11 +77,11 @@
 
 const char* ScaleIn::return_reason(const Machine& machine, const FleetView& view) const {
   const auto type = context_.types.find(machine.type);
-  const double boot_s = type == context_.types.end() ? c::kUnknownBootS : type->second.boot_s;
+  const double boot_s = type == context_.types.end() ? c::kDefaultBootS : type->second.boot_s;
   if (machine.listed_failed) return "it failed";
   if (machine.state == MachineState::kBooting && machine.provisioned_at > 0 && !machine.sent_heartbeat &&
       !machine.unreconciled &&
-      context_.now.steady - machine.provisioned_at > boot_s * c::kBootFactor + c::kBootSlackS)
+      context_.now.steady - machine.provisioned_at > boot_s * c::kBootTimeoutFactor + c::kBootTimeoutSlackS)
     return "it does not come up";
   if (scheduler_.give_up(machine) && (!view.network_fault || machine.interruption_at))
     return "it is unresponsive";
@@ -99,7 +99,7 @@
   const auto type = context_.types.find(machine.type);
   const bool wanted = scheduler_.kept_for_gangs(machine) ? view.gangs_arrive : view.arrays_arrive;
   if (type == context_.types.end() || !wanted) return c::kIdleReturnS;
-  return c::kIdleBoots * type->second.boot_s;
+  return c::kIdleReturnBoots * type->second.boot_s;
 }
 
 void ScaleIn::mark_for_return() {
@@ -125,7 +125,7 @@
 // What no list, heartbeat or record has shown for long does not exist.
 bool ScaleIn::is_missing(const Machine& machine) const {
   const double now = context_.now.steady;
-  if (machine.state == MachineState::kGone) return now - machine.known_at > c::kGoneKeptS;
+  if (machine.state == MachineState::kGone) return now - machine.known_at > c::kGoneMachineKeptS;
   return machine.state == MachineState::kBooting && machine.provisioned_at == 0 && !machine.unreconciled &&
          now - std::max(machine.known_at, machine.last_listed) >
              c::kForgetListLags * context_.settings.list_lag_s;
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -79,10 +79,10 @@
 void ScaleOut::update_needed_cores() {
   const double now = context_.now.steady;
   const double needed = std::max(cores_for_due_times(), scheduler_.array_load(shortest_boot_s(context_)));
-  const double kept_share = needed_at_ > 0 ? std::exp(-(now - needed_at_) / c::kNeedFallS) : 0;
+  const double kept_share = needed_at_ > 0 ? std::exp(-(now - needed_at_) / c::kNeedDecayS) : 0;
   needed_cores_ = std::max(needed, needed + (needed_cores_ - needed) * kept_share);
   // The rest of a need that fell must not keep the last machine for ever.
-  if (needed_cores_ < needed + c::kNeedLeast) needed_cores_ = needed;
+  if (needed_cores_ < needed + c::kNeedNegligibleCores) needed_cores_ = needed;
   needed_at_ = now;
 }
 
@@ -247,7 +247,8 @@
   // least as long as it booted. The load of steady arrivals will be there then; a backlog may be gone.
   const double boot_s = std::max(1.0, offered.boot_s);
   const double backlog_after_boot = backlog_core_s() - have * boot_s;
-  const double for_backlog = std::min(needed_cores_ - have, backlog_after_boot / (boot_s * c::kWorthBoots));
+  const double for_backlog =
+      std::min(needed_cores_ - have, backlog_after_boot / (boot_s * c::kProvisionWorthBoots));
   const double for_arrivals = scheduler_.array_load(shortest_boot_s(context_)) - have;
   for (double left = std::max(for_backlog, for_arrivals); left > 0;) {
     const auto pool = cheapest_pool(typical->spec, plan.missing, "");
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -34,14 +34,14 @@
     return;
   }
   for (const auto& [zone, count] : zones) {
-    if (count.quiet >= c::kZoneOutLeast && count.quiet > count.responsive) {
+    if (count.quiet >= c::kZoneOutageMachinesMin && count.quiet > count.responsive) {
       if (!unresponsive(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
       unresponsive_since_[zone] = now;
     } else if (count.responsive > 0 && unresponsive_since_.erase(zone) > 0) {
       spdlog::info("zone {} responds again", zone);
     }
   }
-  std::erase_if(unresponsive_since_, [&](const auto& entry) { return now - entry.second > c::kZoneOutS; });
+  std::erase_if(unresponsive_since_, [&](const auto& entry) { return now - entry.second > c::kZoneOutageS; });
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -10,7 +10,7 @@
 namespace robinford::coordination {
 
 /// Judges zones by the heartbeats of their machines. A zone is unresponsive when most of its machines that
-/// should send heartbeats do not; it stays so until one of them does, or for `kZoneOutS` after the last of
+/// should send heartbeats do not; it stays so until one of them does, or for `kZoneOutageS` after the last of
 /// them was given up. When hardly anything arrives from any zone, the fault is on this side and no zone
 /// counts.
 class ZoneHealth {
--- a/src/coordination/scheduling/arrival_history.cpp
+++ b/src/coordination/scheduling/arrival_history.cpp
@@ -58,9 +58,9 @@
 double ArrivalHistory::gang_machines_per_second() const {
   double machines = 0;
   for (const auto& gang : gangs_)
-    if (context_.now.steady - gang.at < c::kGangWindowS)
+    if (context_.now.steady - gang.at < c::kGangArrivalWindowS)
       machines += static_cast<double>(gang.spec.tasks) / std::max(1u, tasks_per_machine(gang.spec));
-  return machines / c::kGangWindowS;
+  return machines / c::kGangArrivalWindowS;
 }
 
 const JobSpec* ArrivalHistory::typical_gang() const {
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -31,7 +31,7 @@
   /// The last gang of which each task takes most of a machine; without one, the last gang; null if no gang
   /// came. Valid until the next call of `record`.
   const protocol::JobSpec* typical_gang() const;
-  /// Machines that arriving gangs fill, per second, over the last `kGangWindowS`.
+  /// Machines that arriving gangs fill, per second, over the last `kGangArrivalWindowS`.
   double gang_machines_per_second() const;
   /// Cores that the arrays of the last `kArrayLoadWindowS` keep busy, each team's up to its limit. An array
   /// that can wait for machines to boot (`boot_s` seconds each) counts for less.
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -45,7 +45,7 @@
   for (const auto& objective : context_.settings.objectives)
     if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
       return std::min(inherited, objective.within_s - age);
-  return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kUnknownRunS - age);
+  return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kDefaultRunS - age);
 }
 
 double QueueOrder::expected_duration(const Job& job) const {
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -21,9 +21,9 @@
   job.ran_sum += ran;
   ++job.ran_count;
   // A large array must not drown all other jobs of its class.
-  if (job.spec.estimate_s <= 0 || job.ran_count > c::kLearnTasksOfJob) return;
+  if (job.spec.estimate_s <= 0 || job.ran_count > c::kLearnTasksPerJobMax) return;
   auto& times = classes_[job.spec.job_class];
-  const double weight = std::max(c::kLearnWeight, 1.0 / ++times.count);
+  const double weight = std::max(c::kLearnWeightMin, 1.0 / ++times.count);
   const auto follow = [&](double seen, double& mean, double& spread) {
     const double off = seen - mean;
     mean += weight * off;
@@ -37,18 +37,18 @@
 // The owner's estimate, put right by what the class is usually off by, and drawn towards the class's usual
 // run time the more the estimates scatter.
 double RunTimes::expected(const Job& job) const {
-  return job.ran_count >= c::kLearnOwnTasks ? job.ran_sum / job.ran_count : expected(job.spec);
+  return job.ran_count >= c::kLearnCompletionsMin ? job.ran_sum / job.ran_count : expected(job.spec);
 }
 
 double RunTimes::expected(const protocol::JobSpec& spec) const {
   const auto found = classes_.find(spec.job_class);
-  const bool known = found != classes_.end() && found->second.count >= c::kLearnOwnTasks;
-  if (spec.estimate_s <= 0) return known ? std::exp(found->second.run) : c::kUnknownRunS;
+  const bool known = found != classes_.end() && found->second.count >= c::kLearnCompletionsMin;
+  if (spec.estimate_s <= 0) return known ? std::exp(found->second.run) : c::kDefaultRunS;
   const double estimate = std::log(spec.estimate_s);
   if (!known) {
     // Before anything of the class has run, other owners' estimates temper one that is far off.
-    if (found == classes_.end() || found->second.estimated < c::kLearnOwnTasks) return spec.estimate_s;
-    return std::exp(c::kEstimateTrust * estimate + (1 - c::kEstimateTrust) * found->second.estimates);
+    if (found == classes_.end() || found->second.estimated < c::kLearnCompletionsMin) return spec.estimate_s;
+    return std::exp(c::kEstimateWeight * estimate + (1 - c::kEstimateWeight) * found->second.estimates);
   }
   const auto& times = found->second;
   const double trust = (times.run_spread + 0.01) / (times.run_spread + times.error_spread + 0.02);
