--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -47,18 +47,18 @@
   if (status == state_status::kMalformed) ++rejected_;
   if (status != state_status::kThrottled) return;
   ++throttled_;
-  if (now_ - pace_changed_at_ < constants::kPaceEveryS) return;
+  if (now_ - pace_changed_at_ < constants::kPaceReductionIntervalS) return;
   pace_changed_at_ = now_;
-  const double slower = std::max(constants::kPaceLeast, pace_ * constants::kPaceDrop);
+  const double slower = std::max(constants::kPaceMin, pace_ * constants::kPaceReductionFactor);
   if (slower == std::exchange(pace_, slower)) return;
   spdlog::warn("the state service answers 429: going on at {:.0f}% of the usual pace", pace_ * 100);
   set_rates();
 }
 
 void StateClient::recover_pace() {
-  if (pace_ >= 1 || now_ - pace_changed_at_ < constants::kPaceRecoverS) return;
+  if (pace_ >= 1 || now_ - pace_changed_at_ < constants::kPaceRecoveryIntervalS) return;
   pace_changed_at_ = now_;
-  pace_ = std::min(1.0, pace_ + constants::kPaceStep);
+  pace_ = std::min(1.0, pace_ + constants::kPaceRecoveryStep);
   set_rates();
 }
 
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -118,7 +118,7 @@
 
 void TxnWriter::pump(double now) {
   now_ = now;
-  while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlight && !queue_.empty()) {
+  while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlightMax && !queue_.empty()) {
     auto batch = take_batch();
     if (batch.units.empty()) return;
     if (!state_.writes_ready(static_cast<int>(batch.ops))) return requeue(batch.units);
@@ -263,7 +263,7 @@
     unit->alone = true;
     ops += unit->ops.size();
   }
-  ops_learned_ = std::clamp(ops / 2, constants::kTxnOpsLeast, std::max(constants::kTxnOpsLeast, ops_most()));
+  ops_learned_ = std::clamp(ops / 2, constants::kTxnOpsMin, std::max(constants::kTxnOpsMin, ops_most()));
   spdlog::warn("the state service refuses a transaction of {} changes: {} at most from now on", ops,
                ops_most());
   requeue(units);
--- a/src/constants/bookkeeping.hpp
+++ b/src/constants/bookkeeping.hpp
@@ -11,7 +11,7 @@
 /// @{
 
 /// Transactions at once, on keys apart: one slow answer must not stop all.
-inline constexpr std::size_t kTxnsInFlight = 3;
+inline constexpr std::size_t kTxnsInFlightMax = 3;
 /// Units waiting before new ones are refused; what only tidies up gets a quarter: the records of 4,000
 /// machines at 2 KB each.
 inline constexpr std::size_t kWriteUnitsMax = 1600;
--- a/src/constants/protocol.hpp
+++ b/src/constants/protocol.hpp
@@ -11,9 +11,9 @@
 /// @{
 
 /// Bytes a policy script may use.
-inline constexpr std::size_t kLuaMemory = 4u << 20;
+inline constexpr std::size_t kLuaMemoryBytes = 4u << 20;
 /// Instructions a policy script may run.
-inline constexpr int kLuaSteps = 2'000'000;
+inline constexpr int kLuaInstructionsMax = 2'000'000;
 
 /// @}
 
--- a/src/constants/transport.hpp
+++ b/src/constants/transport.hpp
@@ -11,19 +11,19 @@
 /// @{
 
 /// Unit: bytes. The protocol's limit for a request body.
-inline constexpr std::size_t kBodyMax = std::size_t{64} * 1024;
+inline constexpr std::size_t kRequestBodyBytesMax = std::size_t{64} * 1024;
 /// Bytes of header fields taken from a client.
-inline constexpr std::size_t kHeaderMax = std::size_t{8} * 1024;
+inline constexpr std::size_t kRequestHeaderBytesMax = std::size_t{8} * 1024;
 /// Bytes of an answer read from the state service or cloud.
-inline constexpr std::size_t kClientBodyMax = 4u << 20;
+inline constexpr std::size_t kResponseBodyBytesMax = 4u << 20;
 /// Unit: s. An idle client connection is closed.
-inline constexpr double kServerIdleS = 30.0;
+inline constexpr double kServerIdleTimeoutS = 30.0;
 /// Unit: s. A request must be complete by then, once begun.
-inline constexpr double kServerReadS = 8.0;
+inline constexpr double kServerReadTimeoutS = 8.0;
 /// Unit: s. A client that does not read its answer is dropped.
-inline constexpr double kServerWriteS = 8.0;
+inline constexpr double kServerWriteTimeoutS = 8.0;
 /// Unit: s. A machine without power never refuses a connection.
-inline constexpr double kConnectS = 1.0;
+inline constexpr double kConnectTimeoutS = 1.0;
 /// Connections to the state service, watches aside.
 inline constexpr std::size_t kStateConnections = 6;
 /// Connections to the cloud.
@@ -31,21 +31,21 @@
 /// Calls waiting for a connection before new ones fail.
 inline constexpr std::size_t kClientQueueMax = 256;
 /// Bytes in one frame between controllers.
-inline constexpr std::size_t kFrameMax = std::size_t{256} * 1024;
+inline constexpr std::size_t kFrameBytesMax = std::size_t{256} * 1024;
 /// Frames waiting on a link before new ones are dropped.
-inline constexpr std::size_t kLinkQueueMax = 512;
+inline constexpr std::size_t kLinkQueueFramesMax = 512;
 /// Bytes waiting on a link, for the same reason.
-inline constexpr std::size_t kLinkQueueBytes = 2u << 20;
+inline constexpr std::size_t kLinkQueueBytesMax = 2u << 20;
 /// Unit: s. Between attempts to reach another controller.
 inline constexpr double kLinkRetryS = 0.3;
 /// Unit: s. An incoming link without a heartbeat is closed.
-inline constexpr double kLinkIdleS = 3.0;
+inline constexpr double kLinkIdleTimeoutS = 3.0;
 /// Share of the socket quota that users' connections may take.
 inline constexpr double kUserSocketShare = 0.7;
 /// Sockets kept for state service, cloud and other controllers.
 inline constexpr std::size_t kReservedSockets = 24;
-/// Incoming links at once: one, and those of processes that ended within kLinkIdleS.
-inline constexpr std::size_t kLinksPerMember = 6;
+/// Incoming links at once: one, and those of processes that ended within kLinkIdleTimeoutS.
+inline constexpr std::size_t kLinksPerMemberMax = 6;
 
 /// @}
 
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -71,7 +71,7 @@
   }
   /// The same of one with an entry for each machine: never less than the largest fleet that is served.
   std::size_t per_machine(double entries_per_mb) const {
-    return std::max(constants::kMachinesLeast, per_memory(entries_per_mb));
+    return std::max(constants::kMachineBoundMin, per_memory(entries_per_mb));
   }
   /// A random number of [0, limit), evenly distributed.
   double draw(double limit) { return std::uniform_real_distribution<double>(0, limit)(random); }
--- a/src/coordination/metrics.cpp
+++ b/src/coordination/metrics.cpp
@@ -42,14 +42,14 @@
 }  // namespace
 
 Metrics::Metrics() {
-  const Axis axis(c::kSpreadBuckets, c::kSpreadLeastS, c::kSpreadMostS);
+  const Axis axis(c::kHistogramBuckets, c::kHistogramMinS, c::kHistogramMaxS);
   for (const auto& [spread, name] : kSpreadNames)
     histograms_.emplace(spread, histogram::make_histogram(axis));
 }
 
 // A logarithmic axis has no place for zero.
 void Metrics::record(Spread spread, double seconds) {
-  histograms_.at(spread)(std::max(seconds, c::kSpreadLeastS));
+  histograms_.at(spread)(std::max(seconds, c::kHistogramMinS));
 }
 
 std::string Metrics::page() const {
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -38,8 +38,8 @@
   };
   const auto used = [&context](const std::string& team) {
     const auto usage = context.quota.usage(team);
-    return quota::Amount{std::llround(usage.cpus * c::kThousandths),
-                         std::llround(usage.gpus * c::kThousandths)};
+    return quota::Amount{std::llround(usage.cpus * c::kThousandthsPerUnit),
+                         std::llround(usage.gpus * c::kThousandthsPerUnit)};
   };
   return {job, used};
 }
@@ -79,7 +79,8 @@
 
 void QuotaLeases::renew(const std::string& leader) {
   if (!lessor_understands(leader)) return;
-  next_renewal_ = context_.now.steady + std::min(c::kLeaseRenewS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
+  next_renewal_ =
+      context_.now.steady + std::min(c::kLeaseRenewIntervalS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
   send_(leader, quota::encode(lessee_.renewal(context_.now.steady)));
 }
 
@@ -178,7 +179,7 @@
   if (!options_.enabled) return;
   auto& metrics = context_.metrics;
   const auto cpus = [](const quota::Amount& amount) {
-    return static_cast<double>(amount.cpus) / c::kThousandths;
+    return static_cast<double>(amount.cpus) / c::kThousandthsPerUnit;
   };
   const auto& mine = lessee_.counters();
   metrics.gauge("quota_lease_valid", lessee_.valid(context_.now.steady) ? 1 : 0);
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -179,7 +179,7 @@
   draft.submitted_ms = context_.now.wall_ms;
   if (!spec.dependencies.empty()) draft.state = JobState::kWaiting;
   bool whole = true;
-  auto record = JobLedger::record(draft, c::kBodyMax, whole);
+  auto record = JobLedger::record(draft, c::kRequestBodyBytesMax, whole);
   // What the state service would never take must not be tried again and again.
   if (boost::json::serialize(record).size() + c::kValueSlackBytes > context_.settings.value_bytes())
     return reply(refused(422, "its description is larger than a record may be"));
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -51,7 +51,7 @@
               return target == names::kPathHeartbeat || target == names::kPathReady ||
                      target == names::kPathMetrics;
             }),
-        peer_server_(io_, c::kLinksPerMember * std::max<std::size_t>(1, settings.peers.size()),
+        peer_server_(io_, c::kLinksPerMemberMax * std::max<std::size_t>(1, settings.peers.size()),
                      [this](const std::string& frame) {
                        const auto outcome = controller_.on_frame(now(), frame);
                        carry_out();
@@ -102,7 +102,7 @@
   void tick() {
     controller_.on_tick(now());
     carry_out();
-    ticker_.expires_after(std::chrono::milliseconds(static_cast<int>(c::kTickS * 1000)));
+    ticker_.expires_after(std::chrono::milliseconds(static_cast<int>(c::kTickIntervalS * 1000)));
     ticker_.async_wait([this](boost::system::error_code error) {
       if (!error) tick();
     });
--- a/src/protocol/policy.cpp
+++ b/src/protocol/policy.cpp
@@ -30,7 +30,7 @@
     arena->used -= had;
     return nullptr;
   }
-  if (arena->used - had + new_size > constants::kLuaMemory) return nullptr;
+  if (arena->used - had + new_size > constants::kLuaMemoryBytes) return nullptr;
   void* result = std::realloc(block, new_size);
   if (result != nullptr) arena->used = arena->used - had + new_size;
   return result;
@@ -87,7 +87,7 @@
   run(0);
   if (luaL_loadbufferx(state, script.data(), script.size(), name.c_str(), "t") != LUA_OK)
     fail(lua_tostring(state, -1));
-  lua_sethook(state, too_long, LUA_MASKCOUNT, constants::kLuaSteps);
+  lua_sethook(state, too_long, LUA_MASKCOUNT, constants::kLuaInstructionsMax);
   run(1);
   lua_sethook(state, nullptr, 0, 0);
   if (!lua_istable(state, -1)) fail("the script must return a table");
--- a/src/quota/allotter.cpp
+++ b/src/quota/allotter.cpp
@@ -23,7 +23,7 @@
 
 bool worth_a_write(const MemberDemand& member, const Amount& growth) {
   const auto enough = [](std::int64_t by, std::int64_t size) {
-    return by >= c::kThousandths && by * c::kGrowthStepPart >= size;
+    return by >= c::kThousandthsPerUnit && by * c::kLeaseGrowthDivisor >= size;
   };
   return enough(growth.cpus, member.size.cpus) || enough(growth.gpus, member.size.gpus);
 }
--- a/src/quota/amount.hpp
+++ b/src/quota/amount.hpp
@@ -62,7 +62,8 @@
 // What a task takes is rounded up and what a limit allows is rounded down, so that rounding never adds room.
 inline Amount rounded_up(double cpus, double gpus) {
   const auto thousandths = [](double value) {
-    return static_cast<std::int64_t>(std::ceil(value * constants::kThousandths - constants::kAmountRounding));
+    return static_cast<std::int64_t>(
+        std::ceil(value * constants::kThousandthsPerUnit - constants::kAmountRounding));
   };
   return {thousandths(cpus), thousandths(gpus)};
 }
@@ -70,7 +71,7 @@
 inline Amount rounded_down(double cpus, double gpus) {
   const auto thousandths = [](double value) {
     return static_cast<std::int64_t>(
-        std::floor(value * constants::kThousandths + constants::kAmountRounding));
+        std::floor(value * constants::kThousandthsPerUnit + constants::kAmountRounding));
   };
   return {thousandths(cpus), thousandths(gpus)};
 }
--- a/src/quota/lease_record.cpp
+++ b/src/quota/lease_record.cpp
@@ -93,7 +93,7 @@
 }
 
 std::size_t encoded_size(const LeasePart& part) {
-  return json::serialize(json::string(part.team)).size() + constants::kLeasePartBytes;
+  return json::serialize(json::string(part.team)).size() + constants::kLeasePartOverheadBytes;
 }
 
 }  // namespace robinford::quota
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -43,7 +43,7 @@
   const Amount idle = found == parts_.end() ? Amount{} : found->second.size - found->second.promised;
   const auto covered = found == parts_.end() ? 0 : times_covered(idle, each, spec.tasks);
   const auto tasks = spec.gang && covered < spec.tasks ? 0 : covered;
-  if (tasks == 0 || grants_.size() >= c::kGrantsMost) {
+  if (tasks == 0 || grants_.size() >= c::kGrantsMax) {
     ++counters_.not_covered;
     return std::nullopt;
   }
@@ -71,7 +71,7 @@
   message.refunds_taken = refunds_taken_;
   message.with_parts = true;
   for (const auto& grant : unacknowledged_) {
-    if (message.grants.size() >= c::kGrantsPerMessage) break;
+    if (message.grants.size() >= c::kGrantsPerMessageMax) break;
     message.grants.push_back(grant);
     grants_sent_ = std::max(grants_sent_, grant.number);
   }
@@ -89,7 +89,7 @@
   message.epoch = epoch_;
   message.refunds_taken = refunds_taken_;
   for (const auto& grant : unacknowledged_)
-    if (grant.number > grants_sent_ && message.grants.size() < c::kGrantsPerMessage)
+    if (grant.number > grants_sent_ && message.grants.size() < c::kGrantsPerMessageMax)
       message.grants.push_back(grant);
   if (message.grants.empty()) return std::nullopt;
   grants_sent_ = message.grants.back().number;
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -97,7 +97,7 @@
 void Lessor::close_lease(const std::string& member, const char* why, double now) {
   spdlog::info("quota lease {} of {} closed: {}", ledger_.find(member)->epoch, member, why);
   ledger_.close(member);
-  write_all_records(member, now + c::kLazyRecordS);
+  write_all_records(member, now + c::kLazyRecordWriteS);
 }
 
 // The process that held the lease is over, or has a later one by now: it can't grant from it any more. A
@@ -148,7 +148,7 @@
 void Lessor::take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
                          double now) {
   // A lessee that takes none of its refunds gets no further grants.
-  if (lease.refunds.size() >= c::kGrantsMost) return;
+  if (lease.refunds.size() >= c::kGrantsMax) return;
   for (const auto& new_grant : message.grants) {
     if (new_grant.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
     ++lease.grants_taken;
@@ -181,7 +181,7 @@
     // Under another revision it speaks of a size that the part does not have any more, or not yet.
     if (held.revision != part.revision || !part.durable || held.size == part.size) continue;
     ledger_.lower_part(member, held.team, held.size);
-    write_record(member, part.slice, now + c::kLazyRecordS);
+    write_record(member, part.slice, now + c::kLazyRecordWriteS);
   }
 }
 
@@ -194,7 +194,7 @@
   message.probe = probe;
   message.grants_taken = lease.grants_taken;
   for (const auto& refund : lease.refunds) {
-    if (message.refunds.size() >= c::kGrantsPerMessage) break;
+    if (message.refunds.size() >= c::kGrantsPerMessageMax) break;
     message.refunds.push_back(refund);
   }
   if (lease.synchronized)
@@ -221,7 +221,7 @@
   write_budget_.refill(now);
   expire_leases(now);
   if (now >= next_settle_) {
-    next_settle_ = now + c::kSettleGrantsS;
+    next_settle_ = now + c::kSettleGrantsIntervalS;
     settle_grants(now);
     claims_.drop_stale(now);
     revoke_idle_grants(now);
@@ -262,7 +262,7 @@
       break;
     case JobView::State::kUnknown:
       // Its submission may still be on its way.
-      if (!grant.job_was_live && now - grant.changed_at < c::kGrantOrphanS) return;
+      if (!grant.job_was_live && now - grant.changed_at < c::kOrphanGrantS) return;
       needed = grant.running;
       break;
   }
@@ -282,7 +282,7 @@
   const Amount each = rounded_up(spec.cpus, spec.gpus);
   const Amount need = each * tasks;
   const auto nearest = [](double value) {
-    return static_cast<std::int64_t>(std::llround(value * c::kThousandths));
+    return static_cast<std::int64_t>(std::llround(value * c::kThousandthsPerUnit));
   };
   const Amount used{nearest(used_cpus), nearest(used_gpus)};
   if (!covers(limit.limit - used, need)) return false;
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -30,7 +30,7 @@
   for (const auto& [member, slices] : by_member) {
     // Our own process holds nothing while it leads, and a former process of ours is over.
     if (member == settings_.member) {
-      write_all_records(member, now + c::kLazyRecordS);
+      write_all_records(member, now + c::kLazyRecordWriteS);
       continue;
     }
     const auto newest = std::max_element(slices.begin(), slices.end(),
@@ -75,7 +75,7 @@
   else if (!stored.key.starts_with(kLeaseRecordPrefix + record->member + "/"))
     reason = "it names another member than its key";
   else if (stored.key.find_first_not_of("0123456789", stored.key.rfind('/') + 1) != std::string::npos ||
-           stored.key.ends_with('/') || stored.key.size() - stored.key.rfind('/') > c::kSliceDigits)
+           stored.key.ends_with('/') || stored.key.size() - stored.key.rfind('/') > c::kSliceSuffixCharsMax)
     reason = "its key has no slice";
   if (reason.empty()) {
     records_[stored.key].mod_revision = stored.mod_revision;
@@ -99,7 +99,8 @@
   for (const auto& [name, part] : parts)
     if (name != team) bytes[part.slice] += encoded_size({name, part.size, part.revision});
   const std::size_t own = encoded_size({team, {}, 0});
-  const std::size_t most = settings_.value_bytes() - c::kValueSlackBytes - c::kLeaseHeadBytes - member.size();
+  const std::size_t most =
+      settings_.value_bytes() - c::kValueSlackBytes - c::kLeaseRecordOverheadBytes - member.size();
   std::uint32_t slice = 0;
   while (bytes.contains(slice) && bytes[slice] + own > most) ++slice;
   return slice;
@@ -173,7 +174,7 @@
   if (state_ != LessorState::kServing || found == records_.end()) return;
   found->second.in_flight = false;
   if (!conflict) {
-    found->second.write_at = now_ + c::kLazyRecordS;
+    found->second.write_at = now_ + c::kLazyRecordWriteS;
     return;
   }
   ++counters_.write_conflicts;
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -72,8 +72,8 @@
       reused = false;
       stream = std::make_unique<beast::tcp_stream>(io_);
       stream->expires_at(std::min(
-          pending.deadline, std::chrono::steady_clock::now() +
-                                std::chrono::milliseconds(static_cast<long>(constants::kConnectS * 1000))));
+          pending.deadline, std::chrono::steady_clock::now() + std::chrono::milliseconds(static_cast<long>(
+                                                                   constants::kConnectTimeoutS * 1000))));
       const auto [error] = co_await stream->async_connect(endpoint_, kTuple);
       if (error) {
         stream.reset();
@@ -92,7 +92,7 @@
     }
     if (pending.call.method != "GET") request.prepare_payload();
     http::response_parser<http::string_body> parser;
-    parser.body_limit(constants::kClientBodyMax);
+    parser.body_limit(constants::kResponseBodyBytesMax);
     beast::flat_buffer buffer;
     auto [write_error, written] = co_await http::async_write(*stream, request, kTuple);
     (void)written;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -48,7 +48,7 @@
     response.keep_alive(keep);
     response.body() = std::move(out.body);
     response.prepare_payload();
-    stream.expires_after(ms(constants::kServerWriteS));
+    stream.expires_after(ms(constants::kServerWriteTimeoutS));
     const auto [error, bytes] = co_await http::async_write(stream, response, kTuple);
     (void)bytes;
     co_return !error && keep;
@@ -56,14 +56,14 @@
 
   asio::awaitable<void> serve() {
     const auto self = shared_from_this();
-    beast::flat_buffer buffer(constants::kHeaderMax + constants::kBodyMax + 1024);
+    beast::flat_buffer buffer(constants::kRequestHeaderBytesMax + constants::kRequestBodyBytesMax + 1024);
     bool keep = true;
     while (keep) {
       http::request_parser<http::string_body> parser;
-      parser.header_limit(constants::kHeaderMax);
-      parser.body_limit(constants::kBodyMax);
+      parser.header_limit(constants::kRequestHeaderBytesMax);
+      parser.body_limit(constants::kRequestBodyBytesMax);
       idle = true;
-      stream.expires_after(ms(constants::kServerIdleS));
+      stream.expires_after(ms(constants::kServerIdleTimeoutS));
       if (buffer.size() == 0) {
         // Wait for the first byte with the idle limit, then hold the client to the time of one request.
         auto space = buffer.prepare(2048);
@@ -72,7 +72,7 @@
         buffer.commit(bytes);
       }
       idle = false;
-      stream.expires_after(ms(constants::kServerReadS));
+      stream.expires_after(ms(constants::kServerReadTimeoutS));
       const auto [error, bytes] = co_await http::async_read(stream, buffer, parser, kTuple);
       (void)bytes;
       if (error == http::error::body_limit || error == http::error::header_limit ||
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -41,8 +41,8 @@
 }
 
 void PeerLink::send(std::string frame) {
-  if (!up_ || queue_.size() >= constants::kLinkQueueMax ||
-      queued_bytes_ + frame.size() > constants::kLinkQueueBytes)
+  if (!up_ || queue_.size() >= constants::kLinkQueueFramesMax ||
+      queued_bytes_ + frame.size() > constants::kLinkQueueBytesMax)
     return;
   queued_bytes_ += frame.size();
   queue_.push_back(std::move(frame));
@@ -66,7 +66,7 @@
   const auto self = shared_from_this();
   for (;;) {
     beast::tcp_stream connecting(io_);
-    connecting.expires_after(ms(constants::kConnectS));
+    connecting.expires_after(ms(constants::kConnectTimeoutS));
     const auto [error] = co_await connecting.async_connect(endpoint_, kTuple);
     if (!error) {
       boost::system::error_code ignored;
@@ -83,14 +83,14 @@
           continue;
         }
         std::string batch;
-        while (!queue_.empty() && batch.size() < constants::kFrameMax) {
+        while (!queue_.empty() && batch.size() < constants::kFrameBytesMax) {
           put_length(batch, queue_.front().size());
           batch += queue_.front();
           queued_bytes_ -= queue_.front().size();
           queue_.pop_front();
         }
         // A peer that reads nothing must not hold the link forever: the guard closes the socket.
-        asio::steady_timer guard(io_, ms(constants::kLinkIdleS));
+        asio::steady_timer guard(io_, ms(constants::kLinkIdleTimeoutS));
         guard.async_wait([socket](boost::system::error_code waited) {
           boost::system::error_code closed;
           if (!waited) socket->close(closed);
@@ -147,7 +147,7 @@
   std::string pending;
   std::array<char, std::size_t{16} * 1024> chunk;
   for (;;) {
-    stream.expires_after(ms(constants::kLinkIdleS));
+    stream.expires_after(ms(constants::kLinkIdleTimeoutS));
     const auto [error, bytes] = co_await stream.async_read_some(asio::buffer(chunk), kTuple);
     if (error) break;
     pending.append(chunk.data(), bytes);
@@ -156,7 +156,7 @@
     while (pending.size() - at >= 4) {
       std::size_t size = 0;
       for (int i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(pending[at + i]);
-      if (size > constants::kFrameMax) good = false;
+      if (size > constants::kFrameBytesMax) good = false;
       if (!good || pending.size() - at - 4 < size) break;
       good = handler_(pending.substr(at + 4, size));
       at += 4 + size;
--- a/tests/bookkeeping/writer_test.cpp
+++ b/tests/bookkeeping/writer_test.cpp
@@ -191,15 +191,15 @@
     b.answer(b.next(), 429, "");
   };
   ask();
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceDrop);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceReductionFactor);
   ask();  // within the same second
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceDrop);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceReductionFactor);
   EXPECT_EQ(b.state.throttled(), 2u);
   for (int i = 0; i < 100; ++i) {
     b.step(1);
     ask();
   }
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceLeast);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceMin);
   for (int i = 0; i < 400; ++i) b.step(1);
   EXPECT_DOUBLE_EQ(b.state.pace(), 1);
 }
--- a/tests/quota/quota_property_test.cpp
+++ b/tests/quota/quota_property_test.cpp
@@ -165,7 +165,7 @@
   void elect(int member) {
     leader_ = member;
     leader_settings_ =
-        settings_of(members_[member].name, static_cast<double>(limit_) / constants::kThousandths);
+        settings_of(members_[member].name, static_cast<double>(limit_) / constants::kThousandthsPerUnit);
     ++term_;
     lessor_ =
         std::make_unique<Lessor>(leader_settings_, options_,
--- a/tests/simulated_cluster_leases.cpp
+++ b/tests/simulated_cluster_leases.cpp
@@ -29,7 +29,8 @@
     if (!lessee.valid(clock_reading().steady)) continue;
     for (const auto& [job, grant] : lessee.grants()) promised[job] += grant.tasks;
     for (const auto& team : settings_.teams)
-      teams[team.name].leased += static_cast<double>(lessee.held(team.name).cpus) / constants::kThousandths;
+      teams[team.name].leased +=
+          static_cast<double>(lessee.held(team.name).cpus) / constants::kThousandthsPerUnit;
   }
   if (injected_violation_ == "leases_twice")
     for (auto& [name, use] : teams) use.leased *= 100;
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -59,7 +59,7 @@
 TEST(Server, RefusesAndGoesOn) {
   Bench bench;
   for (int i = 0; i < 3; ++i) {
-    const std::string too_long = std::to_string(constants::kBodyMax + 1);
+    const std::string too_long = std::to_string(constants::kRequestBodyBytesMax + 1);
     EXPECT_NE(
         bench.talk("POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: " + too_long + "\r\n\r\n").find(" 400 "),
         std::string::npos);
