--- a/src/constants/bookkeeping.hpp
+++ b/src/constants/bookkeeping.hpp
@@ -10,12 +10,12 @@
 /// @name Durable writes
 /// @{
 
-/// Transactions at once, on keys apart: one slow answer must not stop all.
+/// Transactions in flight, on disjoint keys, so that one slow answer does not block all writes.
 inline constexpr std::size_t kTxnsInFlightMax = 3;
-/// Units waiting before new ones are refused; what only tidies up gets a quarter: the records of 4,000
-/// machines at 2 KB each.
+/// Units waiting before new ones are refused; low-priority ones may fill only a quarter of the queue. It
+/// allows for the records of 4,000 machines at 2 KB each.
 inline constexpr std::size_t kWriteUnitsMax = 1600;
-/// Seconds after a refusal or a missing answer.
+/// Delay before a transaction that was rejected or not answered is sent again.
 inline constexpr double kWriteRetryS = 0.2;
 
 /// @}
--- a/src/constants/common.hpp
+++ b/src/constants/common.hpp
@@ -10,13 +10,13 @@
 /// @name Clocks and amounts
 /// @{
 
-/// Unit: ratio. The protocol's bound on steady clocks (0.05%).
+/// The protocol's bound on the drift of steady clocks, as a ratio (0.05%).
 inline constexpr double kClockDrift = 0.0005;
-/// Unit: s. How often timers of the controller are looked at.
+/// Time between two ticks, which check the controller's timers.
 inline constexpr double kTickIntervalS = 0.05;
-/// Unit: s. Scheduling delay added to every computed lease bound.
+/// Allowance for scheduling delays, added to every computed lease bound.
 inline constexpr double kLeaseMarginS = 0.25;
-/// Amounts are decimal numbers.
+/// Tolerance for comparisons of amounts, which are decimal numbers.
 inline constexpr double kAmountRounding = 1e-6;
 
 /// @}
@@ -28,30 +28,32 @@
 inline constexpr double kLeaderBudgetShare = 0.70;
 /// Share that all other controllers use together.
 inline constexpr double kMemberBudgetShare = 0.24;
-/// Factor on the own budget after a 429 of the key-value store.
+/// Factor on the budget of this controller after a 429 of the state service.
 inline constexpr double kPaceReductionFactor = 0.8;
-/// Seconds between two such reductions.
+/// Minimum time between two such reductions.
 inline constexpr double kPaceReductionIntervalS = 1.0;
-/// Least share of the own budget, however many 429 answers come.
+/// Lower bound on the share of the budget that stays in use, however many 429 answers arrive.
 inline constexpr double kPaceMin = 0.25;
-/// Seconds without a 429 before the budget grows again.
+/// Time without a change of pace before the budget is raised by one step.
 inline constexpr double kPaceRecoveryIntervalS = 10;
-/// Share of itself by which the budget grows in each step of recovery.
+/// Share of the full budget by which each recovery step raises it.
 inline constexpr double kPaceRecoveryStep = 0.05;
-/// Calls waiting for budget before new ones are refused.
+/// Calls waiting for budget in a queue before new ones are refused.
 inline constexpr std::size_t kStateQueueMax = 512;
-/// Share of the cloud's limit: a former leader may still call.
+/// Share of the cloud's rate limit that is used: a former leader may still make calls.
 inline constexpr double kCloudBudgetShare = 0.85;
-/// Changes in a transaction that every state service takes.
+/// Changes in a transaction that every state service accepts.
 inline constexpr std::size_t kTxnOpsMin = 4;
-/// Bytes in one transaction (the service takes 64 KiB).
+/// Bytes in one transaction (the service accepts 64 KiB).
 inline constexpr std::size_t kTxnBytesMax = std::size_t{56} * 1024;
-/// Ledger items a page: pages stay small beside 40 MB.
+/// Ledger items per page, which keeps pages small within 40 MB of memory.
 inline constexpr std::size_t kStatePageItems = 200;
-/// Bytes kept free below the service's limit for a value: the writer's mark, the mark of a cancellation.
+/// Bytes kept free below the service's limit for a value, for the writer's mark and the mark of a
+/// cancellation.
 inline constexpr std::size_t kValueSlackBytes = 128;
 
-/// Machines that every bound on their heartbeats leaves room for, however little memory there is.
+/// Lower bound on every limit with one entry per machine, however little memory there is: the largest
+/// fleet that is served.
 inline constexpr std::size_t kMachineBoundMin = 4000;
 
 /// @}
@@ -59,11 +61,11 @@
 /// @name Metrics
 /// @{
 
-/// Unit: s. First bucket's lower end.
+/// Lower end of the first bucket.
 inline constexpr double kHistogramMinS = 1e-4;
-/// Unit: s. Last bucket's upper end.
+/// Upper end of the last bucket.
 inline constexpr double kHistogramMaxS = 1e3;
-/// Four a decade.
+/// Number of buckets, four per decade.
 inline constexpr unsigned kHistogramBuckets = 28;
 
 /// @}
--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -10,55 +10,59 @@
 /// @name Leadership
 /// @{
 
-/// Unit: ms. Lease of the leader key; short, since it bounds a failover.
+/// TTL of the lease on the leader key. It bounds the failover time, so it is short.
 inline constexpr std::int64_t kLeaderTtlMs = 2500;
-/// Unit: s. Four renewals per lease survive a slow answer or two.
+/// Time between two renewals of the leader's lease. Four renewals per TTL tolerate one or two slow
+/// answers.
 inline constexpr double kLeaderRenewIntervalS = 0.6;
-/// Unit: s. A renewal without an answer by then is tried again.
+/// Timeout of the calls that grant, use, renew and revoke the lease of the leader key.
 inline constexpr double kLeaderLeaseCallTimeoutS = 1.0;
-/// Unit: s. Taken off the leader's own bound of its lease.
+/// Safety margin subtracted from the leader's own computed end of its lease.
 inline constexpr double kLeaderLeaseMarginS = 0.3;
-/// Unit: s. After its last renewal a leader answers no heartbeat any more.
+/// Time after its last renewal at which a degraded leader stops answering heartbeats at the latest.
 inline constexpr double kDegradedAnswerMaxS = 90.0;
-/// Seconds for an announcement under way, for ticks and for a worker's own steps.
+/// Time reserved between a lease and a cancellation for an announcement in flight, for ticks and for a
+/// worker's own steps.
 inline constexpr double kCancellationMarginS = 1.5;
-/// Seconds between a lease and a cancellation, below which the in-memory state may not lag at all: it does
-/// by about 2 s.
+/// Minimum time between a lease and a cancellation for which the in-memory state may answer for all
+/// controllers. It lags by about 2 s; below this bound the strict mode applies.
 inline constexpr double kDegradedAnswerMinS = 6.0;
-/// Unit: s. The degraded leader's bound there, since cancellations wait for it; well below 75 s.
+/// Time after its last renewal for which a degraded leader answers heartbeats in strict mode.
+/// Cancellations wait for it, so it is well below 75 s.
 inline constexpr double kStrictAnswerMaxS = 45.0;
-/// Seconds for which a member's answered probe lets a leader's in-memory state speak for it: two heartbeats
-/// and a delay.
+/// Time after a member's answered probe for which the leader's in-memory state may speak for that member:
+/// two heartbeats and a delay.
 inline constexpr double kInMemoryStateFreshS = 2.0;
-/// Seconds between two looks at what other controllers wrote.
+/// Time between two reads of the change log of the other controllers.
 inline constexpr double kChangeLogReadIntervalS = 1.0;
-/// Calls that the key-value store must grant for each read of the change log: with a low limit it is read
-/// less often.
+/// Calls that the state service must allow for each read of the change log. With a low rate limit the log
+/// is read less often.
 inline constexpr double kChangeLogCallsPerRead = 10;
 /// Announced cancellations kept for members that missed them.
 inline constexpr std::size_t kAnnouncedCancellationsMax = 4096;
 /// Announced cancellations in one message.
 inline constexpr std::size_t kAnnouncedPerMessageMax = 400;
-/// Share of the time that a cancellation has, after which a machine that has not proved it is returned.
+/// Share of the time allowed for a cancellation after which a machine is returned unless it has shown
+/// that the work is gone.
 inline constexpr double kCancelPatienceShare = 0.5;
-/// Seconds before that time ends at which the machine is returned at the latest, so that the cloud can
-/// answer.
+/// Time before the end of a cancellation at which such a machine is returned at the latest, so that the
+/// cloud can confirm the return.
 inline constexpr double kCancelReturnLeadS = 10.0;
-/// Seconds before its end at the latest, where a new leader gives machines time to send a heartbeat.
+/// The same bound where a new leader first waits for the heartbeats of unreconciled machines.
 inline constexpr double kNewLeaderCancelReturnLeadS = 5.0;
-/// Unit: s. Random wait before a campaign, so that campaigns rarely collide.
+/// Upper bound on the random delay before a campaign. The delay makes collisions between candidates rare.
 inline constexpr double kCampaignJitterS = 0.12;
-/// Unit: s. Pause after a failed campaign.
+/// Delay after a failed campaign or a failed read of the leader key.
 inline constexpr double kCampaignRetryS = 0.4;
-/// Unit: s. How long one watch is left open.
+/// Time for which the state service holds a watch open.
 inline constexpr double kWatchWaitS = 10.0;
-/// Unit: s. After the watch's own time, before it counts as lost.
+/// Time added to kWatchWaitS before an unanswered watch counts as lost.
 inline constexpr double kWatchSlackS = 3.0;
-/// Unit: s. A state call without an answer by then is unresolved.
+/// Timeout of a call to the state service. The outcome of a write that times out is unknown.
 inline constexpr double kStateCallTimeoutS = 1.5;
-/// Unit: s. A page of the ledger may be half a megabyte.
+/// Timeout of a list call: a page of the ledger may take half a megabyte.
 inline constexpr double kStatePageTimeoutS = 4.0;
-/// Bits below the time of day at a process's start, drawn at random.
+/// Random bits of an incarnation, below the wall-clock time of the process's start in ms.
 inline constexpr int kIncarnationRandomBits = 16;
 
 /// @}
@@ -66,27 +70,29 @@
 /// @name Messages between controllers
 /// @{
 
-/// Unit: s. Status to the other controllers.
+/// Time between two status messages to the other controllers.
 inline constexpr double kStatusIntervalS = 0.5;
-/// Unit: s. A status older than this proves nothing.
+/// Age above which the status of another controller is disregarded.
 inline constexpr double kPeerStatusFreshS = 1.8;
-/// Unit: s. A forwarded request without an answer is settled here.
+/// Time after which a forwarded request without an answer is answered here.
 inline constexpr double kForwardTimeoutS = 1.2;
-/// Forwarded requests in flight a MB of memory before new ones get 503.
+/// Forwarded requests in flight per MB of memory before new ones are answered with 503.
 inline constexpr double kForwardedRequestsPerMb = 16;
-/// Heartbeats a second, for each core of the quota, that a leader takes itself.
+/// Heartbeats per second for each core of the quota that a leader takes itself; further ones are
+/// redirected to followers.
 inline constexpr double kOwnHeartbeatRatePerCore = 500;
-/// Bytes for another controller that are sent without waiting for the tick.
+/// Bytes queued for another controller at which they are sent without waiting for the tick.
 inline constexpr std::size_t kPeerBatchBytes = std::size_t{32} * 1024;
-/// Seconds a heartbeat waits for a leader: its worker gives up after 4 s.
+/// Time for which a heartbeat may wait for a leader or its answer. Its worker gives up after 4 s.
 inline constexpr double kHeartbeatParkTimeoutS = 2.5;
-/// Heartbeats waiting for a leader, for each MB of memory.
+/// Heartbeats waiting for a leader, per MB of memory.
 inline constexpr double kParkedHeartbeatsPerMb = 16;
-/// Machines whose last heartbeat is kept, for each MB of memory.
+/// Machines whose last forwarded heartbeat is kept, per MB of memory.
 inline constexpr double kLastHeartbeatsPerMb = 20;
-/// Seconds for a direct call that another controller makes.
+/// Timeout of a direct call that a follower makes for the leader.
 inline constexpr double kDelegatedCallTimeoutS = 3.0;
-/// Requests are numbered above a random start: answers to an earlier process miss.
+/// Bits by which a random number is shifted to give the first request key. With a random start, answers
+/// meant for an earlier process match no request.
 inline constexpr int kRequestKeyShiftBits = 24;
 
 /// @}
@@ -94,21 +100,23 @@
 /// @name User requests
 /// @{
 
-/// Unit: s. For a user whose request can't be served just now.
+/// Retry-After of answers to users whose request cannot be served at present.
 inline constexpr int kRetryAfterS = 1;
-/// Polls in progress a MB of memory before new ones get 503; as many submissions and cancellations.
+/// Polls in progress per MB of memory before new ones are answered with 503. Submissions and
+/// cancellations together have a second limit of the same size.
 inline constexpr double kUserRequestsPerMb = 5;
-/// Unit: s. Users wait 2 s for a poll; later answers are useless.
+/// Time within which a user request is answered. Users wait 2 s for a poll, so a later answer is useless.
 inline constexpr double kUserRequestTimeoutS = 1.6;
-/// Unit: s. The state service counts as reachable this long after an answer.
+/// Time after an answer for which the state service counts as reachable.
 inline constexpr double kStateReachableS = 2.0;
-/// Final job states kept in memory; the rest is read when asked.
+/// Final job states cached in memory. Others are read on demand.
 inline constexpr std::size_t kFinalCacheMax = 20000;
-/// The protocol's limit for the tasks of a job.
+/// The protocol's limit on the tasks of a job.
 inline constexpr std::uint32_t kTasksPerJobMax = 100000;
-/// Amounts above this are absurd and refused.
+/// Upper bound on the amounts of a job. Larger ones are rejected as implausible. As the limit of a team
+/// it means "unlimited".
 inline constexpr double kAmountMax = 1e9;
-/// Each lost against another writer of the same record.
+/// Attempts to write a cancellation. Each failed one lost to a concurrent write of the same record.
 inline constexpr int kCancelWriteAttempts = 4;
 
 /// @}
@@ -116,13 +124,15 @@
 /// @name Dependencies
 /// @{
 
-/// Jobs that one job may name: their ids take 1.6 KB at most, below the smallest value limit known.
+/// Jobs that a job may depend on. Their ids take 1.6 KB at most, which is below the smallest known limit
+/// for a value.
 inline constexpr std::size_t kDependenciesPerJobMax = 64;
-/// Records that one probe about a waiting job may read, before it gets 503.
+/// Jobs that a poll of a waiting job may follow through its dependencies before it is answered with 503,
+/// so that a poll cannot cost the state service an unbounded number of reads.
 inline constexpr std::size_t kDependencyWalkReadsMax = 256;
-/// Reads of dependencies that a leader has open at once.
+/// Reads of dependencies that a leader has in flight.
 inline constexpr std::size_t kDependencyReadsInFlightMax = 16;
-/// Seconds between two computations of what jobs inherit.
+/// Time between two computations of inherited priorities and due times.
 inline constexpr double kInheritEveryS = 1.0;
 
 /// @}
@@ -130,9 +140,10 @@
 /// @name Versions of controllers
 /// @{
 
-/// Feature level of this program. Level 2, the first that is registered, brings dependencies.
+/// Feature level of this program. Level 2 is the first that is registered; it adds dependencies.
 inline constexpr std::uint64_t kFeatureLevel = 2;
-/// Seconds between two readings of the registry until all are known.
+/// Time between two reads of the version registry until all members are registered. It is also the retry
+/// delay for a dependency without a record.
 inline constexpr double kVersionsReadIntervalS = 2.0;
 
 /// @}
--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -10,93 +10,100 @@
 /// @name Fleet
 /// @{
 
-/// Unit: s. How often the fleet is reviewed.
+/// Time between two reviews of the fleet.
 inline constexpr double kFleetEveryS = 1.0;
-/// Unit: s. Spot prices move.
+/// Time between two reads of the catalog, since spot prices change.
 inline constexpr double kCatalogReadIntervalS = 60.0;
-/// Unit: s. While no catalog is known.
+/// Retry delay while no catalog has been read.
 inline constexpr double kCatalogRetryS = 2.0;
-/// Unit: s. Between two readings of the machine list.
+/// Time between two reads of the machine list.
 inline constexpr double kMachineListIntervalS = 5.0;
 /// Machines in one page of the list.
 inline constexpr std::size_t kMachineListPageItems = 500;
-/// Unit: s. A cloud call without an answer.
+/// Timeout of a call to the cloud.
 inline constexpr double kCloudCallTimeoutS = 4.0;
-/// Factor on the nominal boot time after which a machine that is not up is given up.
+/// Factor on the nominal boot time after which a machine that is not up is returned.
 inline constexpr double kBootTimeoutFactor = 2.5;
-/// Seconds added to that time.
+/// Time added to that boot timeout.
 inline constexpr double kBootTimeoutSlackS = 5.0;
-/// Unit: s. Assumed boot time of a machine whose type is not in the catalog.
+/// Assumed boot time of a machine whose type is not in the catalog.
 inline constexpr double kDefaultBootS = 60;
-/// Times the nominal boot time that the protocol calls usual.
+/// Usual boot time as a multiple of the nominal one, according to the protocol. It applies until enough
+/// boots were observed.
 inline constexpr double kDefaultUsualBootFactor = 1.5;
-/// Boots of a type that its usual time is known by.
+/// Boot times kept per machine type.
 inline constexpr std::size_t kBootSamplesMax = 32;
-/// Boots of a type that must be known before they replace the nominal time of the protocol.
+/// Boot times of a type that must be known before they replace the protocol's estimate.
 inline constexpr std::size_t kBootSamplesMin = 8;
-/// Quantile of the known boots that counts as the usual time.
+/// Quantile of the observed boot times that counts as the usual boot time.
 inline constexpr double kBootQuantile = 0.9;
-/// Factor over the usual or the nominal time above which a boot is late.
+/// Factor on the usual or the nominal boot time above which a boot is late.
 inline constexpr double kLateBootFactor = 1.15;
-/// Unit: s. A type and zone that refused is asked again after this.
+/// Time for which a type and zone without capacity is not requested again.
 inline constexpr double kNoCapacityBackoffS = 20.0;
 /// Machines in one provisioning request (the cloud's limit).
 inline constexpr int kProvisionRequestMachinesMax = 50;
-/// Provisioning requests in flight at once for one type, zone and kind.
+/// Provisioning requests that one type, zone and price kind (spot or not) may have outstanding.
 inline constexpr int kProvisionRequestsInFlightMax = 4;
-/// Unresponsive machines of an earlier leader that are given up early.
+/// Unreconciled machines up to which the unresponsive ones among them are returned early, because they
+/// hold up the work of earlier leaders.
 inline constexpr std::size_t kFewUnreconciledMax = 3;
-/// Share of all machines up to which they are given up early as well.
+/// Share of all machines up to which the same applies. With more of them a network fault is likely.
 inline constexpr double kFewUnreconciledShare = 0.02;
 /// Machines in one return request (the cloud's limit).
 inline constexpr std::size_t kReturnRequestMachinesMax = 100;
-/// Unit: s. An idle machine nobody is expected to need goes back.
+/// Time after which an idle machine is returned when no arriving work is expected to need it.
 inline constexpr double kIdleReturnS = 3.0;
-/// List lags after which a machine that is in no list is forgotten.
+/// List lags after which a booting machine that appears in no list is forgotten.
 inline constexpr double kForgetListLags = 6.0;
-/// Boot times that an idle machine is kept while work still arrives.
+/// Boot times for which an idle machine is kept while work still arrives.
 inline constexpr double kIdleReturnBoots = 0.5;
-/// Seconds of gang arrivals that the spare machines are computed from.
+/// Time window of gang arrivals from which the number of spare machines is computed.
 inline constexpr double kGangArrivalWindowS = 120.0;
-/// Unit: s. A class's run time before anything is known of it.
+/// Assumed run time of a task of a class without an estimate or a completion.
 inline constexpr double kDefaultRunS = 60.0;
-/// Least weight of one completion in what a class is known by.
+/// Minimum weight of a completion in the run-time statistics of its class.
 inline constexpr double kLearnWeightMin = 0.03;
-/// Completions before a job's or class's own run time is believed.
+/// Completions before the observed run time of a job or class is used. The same number of estimates is
+/// needed before a class's estimates are used.
 inline constexpr int kLearnCompletionsMin = 3;
-/// Weight of one estimate beside its class's while nothing has run.
+/// Weight of a job's own estimate against its class's estimates while nothing of the class has completed.
 inline constexpr double kEstimateWeight = 0.5;
-/// Completions of one job that its class learns from.
+/// Completions of one job that count in the statistics of its class, so that a large array does not
+/// dominate them.
 inline constexpr int kLearnTasksPerJobMax = 4;
 /// Lower bound of the learned ratio of real to estimated run time.
 inline constexpr double kLearnRatioMin = 0.2;
 /// Upper bound of the learned ratio of real to estimated run time.
 inline constexpr double kLearnRatioMax = 5.0;
-/// Machines that must be quiet before their zone counts as cut off.
+/// Machines without heartbeats needed for a zone outage.
 inline constexpr int kZoneOutageMachinesMin = 3;
-/// Seconds that a zone counts as cut off after the last sign of it: some boot times.
+/// Time for which a zone outage lasts after its last sign: a few boot times.
 inline constexpr double kZoneOutageS = 60.0;
-/// Seconds between two debug lines about what the fleet should be.
+/// Time between two debug lines with the figures of the fleet plan.
 inline constexpr double kFleetLogIntervalS = 10.0;
-/// Seconds between two looks at what the cloud should be asked.
+/// Time between two reviews of the fleet, and minimum time between two return requests.
 inline constexpr double kFleetReviewIntervalS = 0.5;
-/// Unit: s. Time constant with which the computed need for cores falls.
+/// Time constant with which the computed need for cores decays.
 inline constexpr double kNeedDecayS = 15;
-/// Unit: cores. A rest of a fallen need that counts as none.
+/// Remaining cores of a decayed need that are treated as none, since they would keep the last machine
+/// forever.
 inline constexpr double kNeedNegligibleCores = 2;
-/// Times the price a core of what is offered: dearer capacity is replaced; spot prices move by a third.
+/// Ratio to the price per core of the offered capacity above which capacity is replaced. Spot prices vary
+/// by a third.
 inline constexpr double kOverpricedRatio = 1.3;
-/// Boot times of work that a machine provisioned for a backlog must find.
+/// Boot times of backlog that a newly provisioned machine must be able to work on.
 inline constexpr double kProvisionWorthBoots = 1;
-/// Runs before the end at which the last tasks should be under way.
+/// Run times before the end of an array at which its last tasks should be started.
 inline constexpr double kLastTasksRuns = 0.5;
-/// Boots within which work is due whose capacity should stay.
+/// Boot times of allowed time up to which the capacity that an array uses counts in full towards the
+/// need. A replacement would not be up in time.
 inline constexpr double kTightBoots = 2;
-/// Run times over which late work is spread.
+/// Run times over which the work of a late array is spread.
 inline constexpr double kLateWindowRuns = 3;
-/// Seconds before an unanswered provisioning request is repeated under its name.
+/// Retry delay for an unanswered provisioning request, which is repeated under the same name.
 inline constexpr double kProvisionRetryS = 1.0;
-/// Seconds that a returned machine's name is kept, against late messages.
+/// Time for which the name of a returned machine is kept, so that late messages do not revive it.
 inline constexpr double kGoneMachineKeptS = 900;
 
 /// @}
--- a/src/constants/protocol.hpp
+++ b/src/constants/protocol.hpp
@@ -10,9 +10,9 @@
 /// @name Policy scripts
 /// @{
 
-/// Bytes a policy script may use.
+/// Memory that a policy script may use.
 inline constexpr std::size_t kLuaMemoryBytes = 4u << 20;
-/// Instructions a policy script may run.
+/// Instructions that a policy script may execute.
 inline constexpr int kLuaInstructionsMax = 2'000'000;
 
 /// @}
@@ -20,7 +20,7 @@
 /// @name Protocol
 /// @{
 
-/// Bytes in a name: it may become part of a key, which has 200 at most.
+/// Bytes in a name. A name may become part of a key, which has 200 bytes at most.
 inline constexpr std::size_t kNameBytesMax = 200;
 
 /// @}
--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -10,39 +10,42 @@
 /// @name Quota leases
 /// @{
 
-/// Amounts of leases are whole thousandths, so that sums are exact.
+/// Amounts of leases are counted in whole thousandths, so that sums are exact.
 inline constexpr double kThousandthsPerUnit = 1000;
-/// Largest amount in a message: far above any limit, and no sum of them overflows.
+/// Largest amount in a message. It is far above any limit, and sums of such amounts do not overflow.
 inline constexpr std::uint64_t kThousandthsMax = 1'000'000'000'000'000;
-/// Milliseconds in a second.
+/// Milliseconds per second.
 inline constexpr double kMsPerS = 1000;
-/// Seconds between two renewals of a lease.
+/// Maximum time between two renewals of a lease.
 inline constexpr double kLeaseRenewIntervalS = 1.0;
-/// Renewals in the time of a short lease: a few may get lost.
+/// Minimum number of renewals per TTL of a lease, so that a few of them may be lost.
 inline constexpr double kLeaseRenewalsPerTtl = 4;
-/// Seconds after a failed reading of the lease records.
+/// Retry delay after a failed read of the lease records.
 inline constexpr double kLeaseLoadRetryS = 0.5;
-/// Seconds that a record may show more than is leased, before the lower sizes are written.
+/// Delay before a reduced lease is written, during which its record may show more than is leased.
 inline constexpr double kLazyRecordWriteS = 5.0;
-/// Bytes of a part in a record beside its team's name: three numbers, brackets and commas.
+/// Bytes of a part in a record apart from its team's name: three numbers, brackets and commas.
 inline constexpr std::size_t kLeasePartOverheadBytes = 64;
-/// Bytes of a record beside its parts and its member's name.
+/// Bytes of a record apart from its parts and its member's name.
 inline constexpr std::size_t kLeaseRecordOverheadBytes = 128;
-/// Digits of a key's last segment, its slash included.
+/// Characters of the last segment of a record's key, including its slash.
 inline constexpr std::size_t kSliceSuffixCharsMax = 7;
-/// Outstanding grants of one lessee; later jobs go without.
+/// Outstanding grants of one lessee. Further jobs get no grant. A lessee with as many unacknowledged
+/// refunds gets no new ones either.
 inline constexpr std::size_t kGrantsMax = 20'000;
-/// Grants or refunds in one message: a frame has its bound.
+/// Grants or refunds in one message, to stay within the size limit of a frame.
 inline constexpr std::size_t kGrantsPerMessageMax = 500;
-/// Seconds in which what was asked of a lease counts for half.
+/// Half-life of the recorded demand for a lease.
 inline constexpr double kDemandHalfLifeS = 2.0;
-/// A part grows by at least one part in so many of its size: each step is a write.
+/// A part of a lease grows only by at least its size divided by this value, because each growth costs a
+/// write.
 inline constexpr std::int64_t kLeaseGrowthDivisor = 8;
-/// Seconds between two looks at grants, claims and recalls.
+/// Time between two reviews of grants, claims and recalls.
 inline constexpr double kSettleGrantsIntervalS = 0.25;
-/// Seconds that a grant waits for its job: users give a submission 5 s, and forwards take less.
+/// Time for which a grant without a known job is kept. Users wait 5 s for the answer to a submission, and
+/// forwarded requests take less.
 inline constexpr double kOrphanGrantS = 8.0;
-/// Seconds after which a claim that was not repeated is dropped.
+/// Time after which a claim that was not repeated is dropped.
 inline constexpr double kClaimStaleS = 2.0;
 
 /// @}
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -10,63 +10,73 @@
 /// @name Heartbeats and reservations
 /// @{
 
-/// Heartbeat intervals after which a reservation expires (the design's).
+/// Heartbeat intervals after which a reservation that is not confirmed expires, as the design specifies.
 inline constexpr double kReservationHeartbeats = 3.0;
-/// The longest heartbeat interval over the nominal one.
+/// Longest interval between two heartbeats of a worker, as a multiple of the nominal interval.
 inline constexpr double kHeartbeatJitterFactor = 1.25;
-/// Unit: s. For workers whose controller went: retry after 1 s, and a little.
+/// Time added to the longest heartbeat interval before a heartbeat counts as missing. A worker whose
+/// controller has failed retries after 1 s; the rest covers delays.
 inline constexpr double kHeartbeatRoundSlackS = 1.5;
-/// Unit: s. Shortest time between two rounds.
+/// Minimum time between two placement rounds.
 inline constexpr double kPlacementRoundIntervalS = 0.2;
-/// Unit: s. Between two direct stops of the same task.
+/// Minimum time between two direct stop commands for the same task.
 inline constexpr double kDirectStopRetryS = 1.0;
-/// Unit: s. A direct command without an answer.
+/// Timeout of a direct command to a worker.
 inline constexpr double kDirectCallTimeoutS = 2.0;
-/// Unit: s. How often the finished tasks of an array become durable.
+/// Minimum time between two writes of the completed tasks of an array to its durable record.
 inline constexpr double kProgressWriteIntervalS = 10.0;
-/// Units waiting below which progress may be written.
+/// Low-priority writes (progress of arrays, deletion of change log entries) start only while fewer units
+/// than this wait in the writer.
 inline constexpr std::size_t kBackgroundWriteQueueMax = 4;
-/// Machines in one record by number, as the first versions write and read them: some 6 KB.
+/// Machines per record in the layout by number, which the first versions read and write. Such a record
+/// takes about 6 KB. The value is part of the stored format.
 inline constexpr std::uint64_t kMachinesPerRecord = 64;
-/// Bytes in a machine record beside its entries.
+/// Bytes of a machine record apart from its entries.
 inline constexpr std::size_t kMachineRecordOverheadBytes = 48;
-/// Bytes of an entry beside names: the longest address, quotes, and a part of an unanswered entry.
+/// Bytes of a machine entry apart from its names: the longest address, quotes, and part of the entry that
+/// marks the machine as unanswered.
 inline constexpr std::size_t kMachineEntryOverheadBytes = 60;
-/// Bytes of an unanswered entry beside its name and what each entry sets aside for it.
+/// Bytes of an entry that marks a machine as unanswered, apart from the machine's name and from what
+/// kMachineEntryOverheadBytes already includes.
 inline constexpr std::size_t kUnansweredEntryOverheadBytes = 24;
-/// Share of a leader's writes for machine records: above it they wait, and more changes share a write.
+/// Share of the leader's write budget that urgent machine records may use. When more records are pending,
+/// each is written less often, so that more changes share a write and job records still get through.
 inline constexpr double kMachineRecordWriteShare = 0.5;
-/// Unit: s. Between two writings of a record whose machines wait for it.
+/// Minimum time between two writes of a machine record that launches wait for.
 inline constexpr double kUrgentRecordWriteIntervalS = 0.8;
-/// Unit: s. Between two writings of a record that is only outdated.
+/// Minimum time between two writes of a machine record that is only outdated, with no launch waiting for
+/// it.
 inline constexpr double kOutdatedRecordWriteIntervalS = 3.0;
-/// Answers with our token after which a worker should show it.
+/// Answers in a row with this leader's fencing token after which a worker that still does not show the
+/// token is probed: the answers probably do not reach it.
 inline constexpr int kUnprovenAnswersMax = 4;
-/// Commands that a machine did not take before it is asked directly.
+/// Commands that newer heartbeats show as never received after which a machine is probed directly.
 inline constexpr int kUndeliveredCommandsMax = 2;
-/// Unanswered probes after which a machine counts as unresponsive.
+/// Failed probes in a row after which a machine counts as unresponsive or unreachable.
 inline constexpr int kProbeFailureThreshold = 2;
-/// Heartbeats kept a MB of memory while the ledger is read.
+/// Heartbeats held per MB of memory while a new leader reads the ledger.
 inline constexpr double kEarlyHeartbeatsPerMb = 40;
-/// Seconds between tries to read the ledger.
+/// Delay before a failed read of the ledger, of a dependency or of the change log is retried.
 inline constexpr double kLedgerReadRetryS = 0.3;
-/// Unit: s. The worker did not know the job yet.
+/// Backoff of a job whose task ended with the reason "unknown": the worker did not know the job yet.
 inline constexpr double kUnknownJobBackoffS = 2.0;
-/// Unit: s. Our picture of a machine's capacity was wrong.
+/// Backoff of a job that a worker rejected for lack of resources: the leader's view of the machine's
+/// capacity was wrong.
 inline constexpr double kInsufficientResourcesBackoffS = 1.0;
-/// Seconds that a leader with no machine on record waits for any to send a heartbeat.
+/// Upper bound on the time that a new leader without any machine on record waits for heartbeats.
 inline constexpr double kEmptyFleetReconcileS = 2.0;
-/// Seconds between two looks at whether the round is full.
+/// Time between two checks whether all machines are reconciled.
 inline constexpr double kReconcileCheckIntervalS = 0.2;
-/// Share of a lease after which an unresponsive machine is put on record as not answered any more.
+/// Share of a lease after which an unresponsive machine is recorded as unanswered. A machine that returns
+/// earlier must be answered at once, because its tasks end with its lease.
 inline constexpr double kUnansweredLeaseShare = 0.75;
-/// Seconds between two looks at unresponsive machines.
+/// Time between two checks for unresponsive machines.
 inline constexpr double kLivenessCheckIntervalS = 0.25;
-/// Seconds between two looks at jobs that end or have progress to write.
+/// Time between two passes over the jobs that end or have progress to write.
 inline constexpr double kJobSweepIntervalS = 0.2;
-/// Seconds between two lines of why a job waits.
+/// Time between two log lines about the reasons for which jobs wait.
 inline constexpr double kWaitReasonLogIntervalS = 1.0;
-/// Seconds between two probes to a doubtful machine.
+/// Minimum time between two probes of a machine that may be unreachable.
 inline constexpr double kSuspectProbeIntervalS = 2.0;
 
 /// @}
@@ -74,37 +84,44 @@
 /// @name Direct commands
 /// @{
 
-/// Share of the shortest expected start above which two heartbeats are too long.
+/// Direct launches are used where two heartbeat intervals take more than this share of the shortest start
+/// objective: a gang that is launched through heartbeats waits for two of them.
 inline constexpr double kDirectLaunchWaitShare = 0.25;
-/// Unit: s. The shortest expected start where no aim names a shorter one.
+/// Upper bound on the shortest start objective; the value used when no objective sets a shorter one.
 inline constexpr double kDefaultStartObjectiveS = 20.0;
-/// Direct calls a second for each core of the quota.
+/// Direct calls per second for each core of the quota.
 inline constexpr double kDirectCallRatePerCore = 800;
-/// A second, in any case.
+/// Lower bound on the rate of direct calls, in calls per second.
 inline constexpr double kDirectCallRateMin = 5;
-/// One socket in so many may be a direct call.
+/// The number of open direct calls is limited to the connection limit divided by this value.
 inline constexpr int kDirectSocketDivisor = 8;
-/// Attempts that stay listed on a machine before heartbeats carry launches.
+/// Directly launched attempts listed on a machine after which new tasks on it are launched through
+/// heartbeats only.
 inline constexpr std::size_t kListedDirectAttemptsMax = 64;
-/// Unit: s. An unanswered launch of cancelled work, before its machine goes.
+/// Time after which a machine with an unanswered direct launch of a cancelled job is returned, because
+/// the launch may still be carried out.
 inline constexpr double kUnansweredLaunchTimeoutS = 6.0;
-/// Attempts are term << 24 | counter: never used twice.
+/// Bits of the counter in an attempt number (term << 24 | counter), so that no leader reuses a number.
+/// Epochs of quota leases are composed in the same way.
 inline constexpr std::uint64_t kAttemptCounterBits = 24;
-/// Commands in one answer: stays far below 64 KiB.
+/// Commands in one answer. It keeps an answer far below 64 KiB.
 inline constexpr std::size_t kCommandsPerAnswerMax = 200;
-/// Above this share of unreachable machines the fault is on our side.
+/// Share of all machines that may be cordoned as unreachable, in addition to kUnreachableBaseAllowance.
+/// When more machines are unreachable, the fault is probably on this side.
 inline constexpr double kUnreachableShareMax = 0.05;
-/// Unreachable machines that may be cordoned whatever their share.
+/// Machines that may be cordoned as unreachable regardless of the size of the fleet.
 inline constexpr std::size_t kUnreachableBaseAllowance = 3;
-/// Unit: s. A worker that hears no answer sends another heartbeat 5 s later, elsewhere.
+/// Time added to two heartbeat intervals for the age of the last heartbeat of an unreachable machine: a
+/// worker without an answer sends the next heartbeat 5 s later, to another controller.
 inline constexpr double kUnreachableHeartbeatSlackS = 6;
-/// Unit: s. A worker that heard a higher token sends another heartbeat within half a second.
+/// Time for which a machine that was just answered with a new fencing token is not probed: its worker
+/// sends another heartbeat within half a second.
 inline constexpr double kTokenEchoWaitS = 1.0;
-/// Probes to a machine of an earlier leader that stays unresponsive.
+/// Failed probes in a row after which a new leader stops probing an unreconciled machine.
 inline constexpr int kReconcileProbesMax = 3;
-/// Seconds between them.
+/// Minimum time between two probes of an unreconciled machine.
 inline constexpr double kReconcileProbeIntervalS = 0.5;
-/// Direct calls to one machine at a time.
+/// Open direct calls to one machine at which no further stop command is sent to it directly.
 inline constexpr int kOpenDirectCallsMax = 2;
 
 /// @}
@@ -112,21 +129,24 @@
 /// @name Failures
 /// @{
 
-/// Unit: s. After a job's first failure.
+/// Initial backoff of a job that fails on several machines. It doubles with each further machine.
 inline constexpr double kBackoffInitialS = 2.0;
-/// Unit: s. A job that fails everywhere is tried this rarely.
+/// Maximum backoff of a job that fails on several machines.
 inline constexpr double kBackoffMaxS = 60.0;
-/// Machines on which a job failed before it is tried narrowly.
+/// Machines on which a job must have failed for the failure to be attributed to the job.
 inline constexpr int kJobSuspectMachines = 3;
-/// Failed jobs in a row before a machine is cordoned.
+/// Different jobs that must have failed on a machine for it to be cordoned. More failures than this in a
+/// row suffice if the job runs elsewhere.
 inline constexpr int kMachineSuspectErrors = 2;
-/// Unit: s. A job stays away from a machine where it failed.
+/// Time for which a job is not placed on a machine where it failed.
 inline constexpr double kAvoidMachineS = 120.0;
-/// Heartbeat intervals without a heartbeat before a machine is unresponsive.
+/// Heartbeat intervals without a heartbeat after which an unresponsive machine is given up and returned.
 inline constexpr double kGiveUpHeartbeats = 4.0;
-/// Seconds before which no machine is unresponsive: a worker needs 4 s + 1 s for each dead controller.
+/// Minimum time without a heartbeat before an unresponsive machine is given up: a worker needs 4 s and 1
+/// s more for each failed controller to reach another one.
 inline constexpr double kGiveUpMinS = 11.0;
-/// Above this share of unresponsive machines the network is at fault.
+/// Share of unresponsive machines above which a network fault is assumed and none is returned, since
+/// returning them would lose all their work.
 inline constexpr double kNetworkFaultShare = 0.35;
 
 /// @}
@@ -134,43 +154,50 @@
 /// @name Placement
 /// @{
 
-/// Seconds that capacity being emptied is kept for its gang.
+/// Minimum time for which preempted capacity is kept for the gang.
 inline constexpr double kPreemptionHoldS = 8.0;
-/// An array without any aim may take this many run times.
+/// Expected run times within which an array without a deadline or objective should be finished, in
+/// addition to kDefaultRunS.
 inline constexpr double kDefaultAllowedRuns = 2;
-/// Share of a pace that is reached, since fetches, stops and changes of task take time.
+/// Share of an array's nominal rate that is attainable: image fetches, stops and changes of task take
+/// time.
 inline constexpr double kAttainableRateShare = 0.85;
-/// Seconds between two sortings of the late.
+/// Time between two assignments of arrays to urgency tiers.
 inline constexpr double kArrayTierIntervalS = 1.0;
-/// Share of a run: the last tasks of a job overlap with other jobs' first.
+/// Share of a run time counted for the last tasks of an array: they overlap with the first tasks of other
+/// jobs.
 inline constexpr double kLastRunShare = 0.7;
-/// Arrivals kept to tell the load.
+/// Array arrivals kept for the load estimate.
 inline constexpr std::size_t kRecentArraysMax = 256;
-/// Work due within this many boots needs its capacity ready when it comes.
+/// Arrays that must finish within this many boot times count in full towards the load estimate: capacity
+/// for them must be ready when they arrive.
 inline constexpr double kReadyCapacityBoots = 2;
-/// Share of a steady load that capacity is kept for in any case.
+/// Minimum share with which an array counts towards the load estimate, however much time it is allowed.
 inline constexpr double kReadyCapacityShareMin = 0.7;
-/// Seconds of arrivals that the load is computed from.
+/// Time window of array arrivals for the load estimate.
 inline constexpr double kArrayLoadWindowS = 90;
-/// Arrivals kept to tell which machines gangs want, and their rate over its window.
+/// Gang arrivals kept for the arrival rate of gangs and for the choice of the machines that suit them.
 inline constexpr std::size_t kRecentGangsMax = 512;
-/// Tasks of a gang that a machine takes at most, for machines to be kept ready for such gangs.
+/// Maximum number of tasks of a gang that fit a machine for the gang to count as filling it. Machines are
+/// kept ready for such gangs.
 inline constexpr std::uint32_t kMachineFillingGangTasksMax = 3;
-/// Seconds that a gang waits before it keeps others from the capacity it needs.
+/// Waiting time after which a gang claims machines, which then accept no other work, so that smaller jobs
+/// do not starve it.
 inline constexpr double kGangClaimAfterS = 40;
-/// Gangs that do so in one round.
+/// Gangs that may claim machines in one placement round.
 inline constexpr int kGangClaimsPerRoundMax = 8;
-/// Seconds after which an array of which nothing ran goes before all others.
+/// Waiting time after which an array without any started task is placed ahead of the fair-share order, so
+/// that it does not starve.
 inline constexpr double kArrayOverdueWaitS = 100;
-/// Seconds between two sortings of the queues.
+/// Minimum time between two sorts of the queues.
 inline constexpr double kQueueSortIntervalS = 0.25;
-/// Seconds between two counts of the fleet's capacity.
+/// Minimum time between two counts of the fleet's capacity.
 inline constexpr double kCapacitySurveyIntervalS = 0.5;
-/// Seconds between two searches for capacity to free, for one gang.
+/// Minimum time between two searches for preemptible capacity for the same gang.
 inline constexpr double kPreemptSearchIntervalS = 1.0;
-/// Searches for capacity to preempt in one round.
+/// Searches for preemptible capacity in one placement round.
 inline constexpr int kPreemptSearchesPerRoundMax = 4;
-/// Seconds for which the kinds that suit gangs are remembered.
+/// Time for which the answers about which kinds of machine suit gangs are cached.
 inline constexpr double kGangUseCacheS = 1.0;
 
 /// @}
