--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -17,10 +17,11 @@
 
 namespace {
 
-constexpr char kMark[] = "w";
-constexpr std::size_t kOpBytes = 160;     // of one change in a transaction, beside its key and value
-constexpr std::size_t kKeysInOp = 2;      // the condition names the key, and the change
-constexpr std::size_t kTidyFraction = 4;  // of the queue, what only tidies up may fill one part in so many
+constexpr char kMarkField[] = "w";
+constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, beside its key and value
+constexpr std::size_t kKeysInOp = 2;   // the condition names the key, and the change
+constexpr std::size_t kBackgroundQueueDivisor =
+    4;  // of the queue, what only tidies up may fill one part in so many
 
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
@@ -88,15 +89,16 @@
   for (const auto& unit : units) unit->written(outcome, revision);
 }
 
-std::size_t TxnWriter::queue_limit(WriteClass urgency) const {
-  return urgency == WriteClass::kTidy ? constants::kWriteUnitsMax / kTidyFraction : constants::kWriteUnitsMax;
+std::size_t TxnWriter::queue_limit(WritePriority urgency) const {
+  return urgency == WritePriority::kBackground ? constants::kWriteUnitsMax / kBackgroundQueueDivisor
+                                               : constants::kWriteUnitsMax;
 }
 
-std::size_t TxnWriter::ops_most() const {
-  return std::min(static_cast<std::size_t>(settings_.txn_ops), ops_learned_);
+std::size_t TxnWriter::ops_limit() const {
+  return std::min(static_cast<std::size_t>(settings_.txn_ops), observed_ops_limit_);
 }
 
-void TxnWriter::submit(std::vector<WriteOp> ops, Written written, WriteClass urgency) {
+void TxnWriter::submit(std::vector<WriteOp> ops, WriteCallback written, WritePriority urgency) {
   if (queue_.size() >= queue_limit(urgency) || ops.size() > static_cast<std::size_t>(settings_.txn_ops)) {
     written(WriteOutcome::kRefused, 0);
     return;
@@ -107,7 +109,7 @@
   unit->written = std::move(written);
   unit->urgency = urgency;
   for (auto& op : ops) {
-    if (op.value) (*op.value)[kMark] = unit->mark;
+    if (op.value) (*op.value)[kMarkField] = unit->mark;
     unit->bytes += kOpBytes + op.key.size() * kKeysInOp + (op.value ? json::serialize(*op.value).size() : 0);
   }
   unit->ops = std::move(ops);
@@ -129,7 +131,7 @@
 // The first unit always fits: should it be too large for the service, its answer says so.
 bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
   if (batch.units.empty()) return true;
-  return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_most() &&
+  return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_limit() &&
          batch.bytes + unit.bytes <= constants::kTxnBytesMax;
 }
 
@@ -201,7 +203,7 @@
   if (status == state_status::kMalformed) return TxnAnswer::kMalformed;
   if (status == state_status::kThrottled || status == state_status::kUnavailable)
     return TxnAnswer::kNotCarriedOut;
-  return TxnAnswer::kOpen;
+  return TxnAnswer::kUnresolved;
 }
 
 void TxnWriter::on_answer(const std::vector<UnitPtr>& units, std::uint64_t generation,
@@ -224,8 +226,8 @@
       return on_malformed(units);
     case TxnAnswer::kNotCarriedOut:
       return requeue_after_pause(units);
-    case TxnAnswer::kOpen:
-      for (const auto& unit : units) unit->open_try = true;
+    case TxnAnswer::kUnresolved:
+      for (const auto& unit : units) unit->unresolved_attempt = true;
       return requeue_after_pause(units);
   }
 }
@@ -243,7 +245,7 @@
     const bool hit = names_any(unit->ops, failed);
     if (!hit && !failed.empty())
       again.push_back(unit);
-    else if (hit && unit->open_try)
+    else if (hit && unit->unresolved_attempt)
       settle_by_reading(unit);
     else
       unit->written(WriteOutcome::kConflict, 0);
@@ -263,9 +265,10 @@
     unit->alone = true;
     ops += unit->ops.size();
   }
-  ops_learned_ = std::clamp(ops / 2, constants::kTxnOpsMin, std::max(constants::kTxnOpsMin, ops_most()));
+  observed_ops_limit_ =
+      std::clamp(ops / 2, constants::kTxnOpsMin, std::max(constants::kTxnOpsMin, ops_limit()));
   spdlog::warn("the state service refuses a transaction of {} changes: {} at most from now on", ops,
-               ops_most());
+               ops_limit());
   requeue(units);
 }
 
@@ -293,7 +296,7 @@
   if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
   bool carried_out = deleting && read.found == StateRead::Found::kNo;
   if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
-    const auto* mark = read.value.get_object().if_contains(kMark);
+    const auto* mark = read.value.get_object().if_contains(kMarkField);
     carried_out = mark != nullptr && mark->is_string() && mark->get_string() == unit->mark;
   }
   unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.mod_revision);
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -36,9 +36,9 @@
 };
 
 /// In order of urgency: users wait for their submissions, a launch may wait for its machine's record.
-enum class WriteClass : std::uint8_t { kUser, kFleet, kTidy };
+enum class WritePriority : std::uint8_t { kUser, kFleet, kBackground };
 
-using Written = std::function<void(WriteOutcome, std::uint64_t revision)>;
+using WriteCallback = std::function<void(WriteOutcome, std::uint64_t revision)>;
 
 /// Carries out units of changes, each wholly or not at all, and reports one outcome for each.
 ///
@@ -77,7 +77,7 @@
 
   /// Takes a unit. `written` is called once: before this returns if the unit is refused here, otherwise
   /// later.
-  void submit(std::vector<WriteOp> ops, Written written, WriteClass urgency = WriteClass::kUser);
+  void submit(std::vector<WriteOp> ops, WriteCallback written, WritePriority urgency = WritePriority::kUser);
   /// Sends what budget and limits allow.
   void pump(double now);
   /// Units that wait, and transactions on their way.
@@ -88,12 +88,12 @@
  private:
   struct Unit {
     std::vector<WriteOp> ops;
-    Written written;
-    std::string mark;       // stands in each value put, so that a read tells whose write it is
-    bool open_try = false;  // an earlier try was not answered, and may have been carried out
+    WriteCallback written;
+    std::string mark;                 // stands in each value put, so that a read tells whose write it is
+    bool unresolved_attempt = false;  // an earlier try was not answered, and may have been carried out
     bool guarded = false;
     bool alone = false;  // was part of a transaction that was refused as malformed
-    WriteClass urgency = WriteClass::kUser;
+    WritePriority urgency = WritePriority::kUser;
     std::size_t bytes = 0;
   };
   using UnitPtr = std::shared_ptr<Unit>;
@@ -104,11 +104,11 @@
     std::size_t bytes = 0;
   };
   // What the answer to a transaction says of it.
-  enum class TxnAnswer { kCarriedOut, kConditionFailed, kMalformed, kNotCarriedOut, kOpen };
+  enum class TxnAnswer { kCarriedOut, kConditionFailed, kMalformed, kNotCarriedOut, kUnresolved };
 
   static TxnAnswer classify(int status, const boost::json::object* body);
   static void finish(const std::vector<UnitPtr>& units, WriteOutcome outcome, std::uint64_t revision);
-  std::size_t queue_limit(WriteClass urgency) const;
+  std::size_t queue_limit(WritePriority urgency) const;
   bool fits(const Batch& batch, const Unit& unit) const;
   Batch take_batch();
   void send(std::vector<UnitPtr> units);
@@ -122,7 +122,7 @@
   void requeue(const std::vector<UnitPtr>& units);
   void requeue_after_pause(const std::vector<UnitPtr>& units);
   // Changes in a transaction.
-  std::size_t ops_most() const;
+  std::size_t ops_limit() const;
 
   const protocol::Settings& settings_;
   StateClient& state_;
@@ -133,8 +133,8 @@
   double now_ = 0;
   double not_before_ = 0;
   bool paused_ = false;
-  std::size_t ops_learned_ = std::numeric_limits<std::size_t>::max();  // by what was refused
-  std::string guard_key_;                                              // empty: no guard
+  std::size_t observed_ops_limit_ = std::numeric_limits<std::size_t>::max();  // by what was refused
+  std::string guard_key_;                                                     // empty: no guard
   std::uint64_t guard_mod_revision_ = 0;
   std::uint64_t generation_ = 0;  // of the guard
   std::function<void()> guard_lost_;
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -10,9 +10,9 @@
 
 namespace robinford::coordination {
 namespace c = constants;
-using bookkeeping::WriteClass;
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
+using bookkeeping::WritePriority;
 using protocol::JobId;
 
 namespace {
@@ -117,7 +117,7 @@
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
           uncollected_.push_back({key, mod_revision});
       },
-      WriteClass::kTidy);
+      WritePriority::kBackground);
 }
 
 void ChangeLog::delete_uncollected() {
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -17,9 +17,9 @@
 using bookkeeping::Machine;
 using bookkeeping::RunState;
 using bookkeeping::StateRead;
-using bookkeeping::WriteClass;
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
+using bookkeeping::WritePriority;
 using protocol::JobId;
 
 namespace {
@@ -49,7 +49,7 @@
           read_job(id);
         }
       },
-      WriteClass::kTidy);
+      WritePriority::kBackground);
 }
 
 void Scheduler::complete(Job& job) {
@@ -271,7 +271,7 @@
         else if (outcome == WriteOutcome::kConflict)
           read_job(id);
       },
-      WriteClass::kTidy);
+      WritePriority::kBackground);
 }
 
 // Progress is only a help to the next leader, so it waits for a quiet moment of the state service.
@@ -314,7 +314,7 @@
     if (job.marked)
       context_.writer.submit(
           {WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}}, [](auto, auto) {},
-          WriteClass::kTidy);
+          WritePriority::kBackground);
     context_.jobs.erase(id);
   }
 }
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -13,9 +13,9 @@
 using bookkeeping::MachineGroup;
 using bookkeeping::MachineLedger;
 using bookkeeping::MachineState;
-using bookkeeping::WriteClass;
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
+using bookkeeping::WritePriority;
 
 void MachineRecordWriter::write_due() {
   if (!election_.valid()) return;
@@ -58,7 +58,7 @@
   for (const auto& member : group.members)
     if (Machine* machine = machines.find(member); machine != nullptr && machine->state != MachineState::kGone)
       record.named.push_back(member);
-  const auto urgency = group.urgent ? WriteClass::kFleet : WriteClass::kTidy;
+  const auto urgency = group.urgent ? WritePriority::kFleet : WritePriority::kBackground;
   group.urgent = false;
   group.outdated = false;
   if (record.named.empty() && group.mod_revision == 0) return;
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -170,7 +170,7 @@
         else if (outcome != WriteOutcome::kLost)
           lessor_.not_written(key, outcome == WriteOutcome::kConflict);
       },
-      bookkeeping::WriteClass::kFleet);
+      bookkeeping::WritePriority::kFleet);
 }
 
 // ---------------------------------------------------------------- watching it
--- a/tests/bookkeeping/writer_test.cpp
+++ b/tests/bookkeeping/writer_test.cpp
@@ -37,7 +37,7 @@
     calls.on_result(call.id, {status, body});
     step(0.5);
   }
-  Written into(std::vector<WriteOutcome>& list) {
+  WriteCallback into(std::vector<WriteOutcome>& list) {
     return [&list](WriteOutcome outcome, std::uint64_t) { list.push_back(outcome); };
   }
 
