--- a/src/bookkeeping/calls.hpp
+++ b/src/bookkeeping/calls.hpp
@@ -13,7 +13,7 @@
 namespace robinford::bookkeeping {
 
 /// Takes the answer of a call. Status 0: none came in time, and the call may have been carried out.
-using Answered = std::function<void(const protocol::CallResult&)>;
+using ResultCallback = std::function<void(const protocol::CallResult&)>;
 
 /// Numbers calls, puts them into the outbox, and brings each answer to whoever waits for it.
 ///
@@ -23,7 +23,7 @@
   explicit CallTable(protocol::Outbox& out) : out_(out) {}
 
   /// Adds the call to the outbox under a number of its own, whatever its `id` was.
-  void send(protocol::Call call, Answered answered) {
+  void send(protocol::Call call, ResultCallback answered) {
     call.id = next_id_++;
     waiting_.emplace(call.id, std::move(answered));
     out_.calls.push_back(std::move(call));
@@ -33,14 +33,14 @@
   void on_result(std::uint64_t id, const protocol::CallResult& result) {
     const auto found = waiting_.find(id);
     if (found == waiting_.end()) return;
-    const Answered answered = std::move(found->second);
+    const ResultCallback answered = std::move(found->second);
     waiting_.erase(found);
     answered(result);
   }
 
  private:
   protocol::Outbox& out_;
-  std::unordered_map<std::uint64_t, Answered> waiting_;
+  std::unordered_map<std::uint64_t, ResultCallback> waiting_;
   std::uint64_t next_id_ = 1;
 };
 
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -43,7 +43,7 @@
 }
 
 // The limits may be lower than the settings say. A refused call is not simply repeated at the same pace.
-void StateClient::learn_from(int status) {
+void StateClient::record_status(int status) {
   if (status == state_status::kMalformed) ++rejected_;
   if (status != state_status::kThrottled) return;
   ++throttled_;
@@ -71,7 +71,8 @@
   recover_pace();
   const auto refused = std::exchange(refused_, {});
   for (const auto& answered : refused) answered({state_status::kThrottled, ""});
-  while (!first_.empty() && requests_.covers(1) && writes_.covers(first_.front().writes)) send_front(first_);
+  while (!urgent_queue_.empty() && requests_.covers(1) && writes_.covers(urgent_queue_.front().writes))
+    send_front(urgent_queue_);
   send_queued();
 }
 
@@ -82,41 +83,42 @@
 }
 
 void StateClient::send_queued() {
-  while (!queue_.empty()) {
+  while (!normal_queue_.empty()) {
     // Whoever asked has given up by now: a flood of polls must not spend the budget on answers for nobody.
-    if (now_ - queue_.front().since > constants::kStateCallTimeoutS) {
-      const auto answered = std::move(queue_.front().answered);
-      queue_.pop_front();
+    if (now_ - normal_queue_.front().since > constants::kStateCallTimeoutS) {
+      const auto answered = std::move(normal_queue_.front().answered);
+      normal_queue_.pop_front();
       answered({state_status::kThrottled, ""});
       continue;
     }
-    if (!first_.empty() || !requests_.covers(kRequestsForQueued) || !writes_.covers(queue_.front().writes))
+    if (!urgent_queue_.empty() || !requests_.covers(kRequestsForQueued) ||
+        !writes_.covers(normal_queue_.front().writes))
       return;
-    send_front(queue_);
+    send_front(normal_queue_);
   }
 }
 
-void StateClient::send(protocol::Call call, int writes, Answered answered) {
+void StateClient::send(protocol::Call call, int writes, ResultCallback answered) {
   requests_.take(1);
   writes_.take(writes);
   calls_.send(std::move(call), [this, answered = std::move(answered)](const CallResult& result) {
     if (result.status != state_status::kNoAnswer && result.status != state_status::kUnavailable)
       last_answer_ = now_;
-    learn_from(result.status);
+    record_status(result.status);
     answered(result);
   });
 }
 
 void StateClient::call(Urgency urgency, const std::string& method, const std::string& target,
-                       std::string body, int writes, double timeout_s, Answered answered) {
+                       std::string body, int writes, double timeout_s, ResultCallback answered) {
   protocol::Call call{0, protocol::Service::kState, "", method, target, std::move(body), timeout_s, false};
-  const bool free = queue_.empty() || urgency == Urgency::kFirst || writes > 0;
+  const bool free = normal_queue_.empty() || urgency == Urgency::kFirst || writes > 0;
   if (urgency == Urgency::kLease ||
-      (free && first_.empty() && requests_.covers(1) && writes_.covers(writes))) {
+      (free && urgent_queue_.empty() && requests_.covers(1) && writes_.covers(writes))) {
     send(std::move(call), writes, std::move(answered));
     return;
   }
-  auto& queue = urgency == Urgency::kFirst ? first_ : queue_;
+  auto& queue = urgency == Urgency::kFirst ? urgent_queue_ : normal_queue_;
   if (queue.size() >= constants::kStateQueueMax) {
     // Over our own budget: the same as if the service had said so. Not at once, or a caller that asks again
     // would do so for ever.
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -46,7 +46,7 @@
   /// `writes`: keys that the call changes, which count against the budget of writes; `timeout_s` from when it
   /// is sent.
   void call(Urgency urgency, const std::string& method, const std::string& target, std::string body,
-            int writes, double timeout_s, Answered answered);
+            int writes, double timeout_s, ResultCallback answered);
   void read(const std::string& key, std::function<void(const StateRead&)> done,
             Urgency urgency = Urgency::kNormal);
   /// A page of the keys with the prefix that come after `after` (empty: from the first). Lists are what a new
@@ -68,30 +68,30 @@
   bool reachable(double now) const;
   /// Whether a call with so many writes would be sent at once.
   bool writes_ready(int writes) const {
-    return writes_.covers(writes) && requests_.covers(1) && first_.empty();
+    return writes_.covers(writes) && requests_.covers(1) && urgent_queue_.empty();
   }
 
  private:
   struct Queued {
     protocol::Call call;
     int writes;
-    Answered answered;
+    ResultCallback answered;
     double since = 0;
   };
-  void send(protocol::Call call, int writes, Answered answered);
+  void send(protocol::Call call, int writes, ResultCallback answered);
   void send_front(std::deque<Queued>& queue);
   void send_queued();
   void set_rates();
-  void learn_from(int status);
+  void record_status(int status);
   void recover_pace();
 
   const protocol::Settings& settings_;
   CallTable& calls_;
   TokenBucket requests_;
   TokenBucket writes_;
-  std::deque<Queued> first_;      // kFirst
-  std::deque<Queued> queue_;      // kNormal
-  std::deque<Answered> refused_;  // answered at the next tick: never while the caller is still calling
+  std::deque<Queued> urgent_queue_;     // kFirst
+  std::deque<Queued> normal_queue_;     // kNormal
+  std::deque<ResultCallback> refused_;  // answered at the next tick: never while the caller is still calling
   double now_ = 0;
   double last_answer_ = -1e9;
   bool leading_ = false;
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -50,7 +50,7 @@
 void CloudClient::end() { ++generation_; }
 
 void CloudClient::call(const std::string& method, const std::string& target, std::string body,
-                       bookkeeping::Answered answered) {
+                       bookkeeping::ResultCallback answered) {
   budget_.take(1);
   context_.metrics.count("cloud_calls");
   context_.calls.send(
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -61,7 +61,7 @@
 
  private:
   void call(const std::string& method, const std::string& target, std::string body,
-            bookkeeping::Answered answered);
+            bookkeeping::ResultCallback answered);
   bool catalog_is_due() const;
   void read_catalog();
   void publish_catalog();
