--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -68,13 +68,13 @@
   return index < spec.tasks ? std::optional(index) : std::nullopt;
 }
 
-void Job::take_task(std::uint32_t index) {
+void Job::mark_placed(std::uint32_t index) {
   again.erase(index);
   while (next_fresh < spec.tasks && (next_fresh == index || done[next_fresh] || runs.contains(next_fresh)))
     ++next_fresh;
 }
 
-void Job::give_back(std::uint32_t index) {
+void Job::requeue_task(std::uint32_t index) {
   if (!done[index] && !runs.contains(index) && index < next_fresh) again.insert(index);
 }
 
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -104,9 +104,9 @@
   Priority inherited_priority = Priority::kLow;
   /// The latest moment at which it may end for all jobs that depend on it to be in time.
   double inherited_due_ms = std::numeric_limits<double>::infinity();
-  bool before = false;            ///< read from the store: an earlier leader may have placed tasks of it
-  std::int64_t cancelled_ms = 0;  ///< when it was cancelled, by whoever wrote that
-  bool marked = false;            ///< cancelled, and its live record says so until nothing of it is left
+  bool before = false;               ///< read from the store: an earlier leader may have placed tasks of it
+  std::int64_t cancelled_ms = 0;     ///< when it was cancelled, by whoever wrote that
+  bool cancellation_marked = false;  ///< cancelled, and its live record says so until nothing of it is left
 
   std::vector<bool> done;  ///< by task index
   std::uint32_t done_count = 0;
@@ -127,16 +127,16 @@
   const char* logged_wait_reason = nullptr;  ///< the reason for waiting that was logged last
   bool was_placed = false;                   ///< this leader has taken capacity for it at least once
   bool queued = false;                       ///< stands in its team's queue (arrays)
-  double next_preempt = 0;                   ///< no search for capacity to empty before
+  double next_preempt_search_at = 0;         ///< no search for capacity to empty before
 
   int failures = 0;  ///< in a row, over all machines
   double backoff_until = 0;
   double quota_freed_until = 0;         ///< its team's limit is being freed for it
   std::map<std::string, double> avoid;  ///< machine -> until
   std::set<std::string> failed_on;      ///< machines on which it failed since its last success
-  double first_start = 0;               ///< when a task first ran under this leader
-  double ran_sum = 0;                   ///< s, of its completed tasks
-  int ran_count = 0;
+  double first_started_at = 0;          ///< when a task first ran under this leader
+  double run_time_sum_s = 0;            ///< s, of its completed tasks
+  int run_time_count = 0;
   int tier = 0;  ///< arrays: 0 can be in time, 1 can be less than half late, 2 neither
 
   std::uint32_t remaining() const { return spec.tasks - done_count; }
@@ -150,9 +150,9 @@
   /// The next task to place; nothing when all are done or placed.
   std::optional<std::uint32_t> next_task() const;
   /// The task was placed.
-  void take_task(std::uint32_t index);
+  void mark_placed(std::uint32_t index);
   /// The task left its machine, and is to be placed again unless it is done.
-  void give_back(std::uint32_t index);
+  void requeue_task(std::uint32_t index);
   /// The task is done. Repeating the call changes nothing.
   void mark_done(std::uint32_t index);
   /// Its own deadline; infinity when it has none.
--- a/src/bookkeeping/job_ledger.cpp
+++ b/src/bookkeeping/job_ledger.cpp
@@ -52,7 +52,7 @@
   job.state = state;
 }
 
-void JobLedger::set_gang(Job& job, GangState state, double now) {
+void JobLedger::set_gang_state(Job& job, GangState state, double now) {
   if (job.gang == state) return;
   spdlog::debug("gang {}: {} -> {} after {:.1f} s", protocol::job_id_text(job.spec.id), to_text(job.gang),
                 to_text(state), job.gang_since > 0 ? now - job.gang_since : 0.0);
@@ -60,7 +60,7 @@
   job.gang_since = now;
 }
 
-void JobLedger::set_run(Job& job, TaskRun& run, RunState state) {
+void JobLedger::set_run_state(Job& job, TaskRun& run, RunState state) {
   if (run.state == state) return;
   if (spdlog::should_log(spdlog::level::trace))
     spdlog::trace("task of {} on {}: {} -> {}", protocol::job_id_text(job.spec.id), run.machine,
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -61,8 +61,8 @@
 
   // One function for each kind of state: each change is logged.
   static void set_state(Job& job, JobState state);
-  static void set_gang(Job& job, GangState state, double now);
-  static void set_run(Job& job, TaskRun& run, RunState state);
+  static void set_gang_state(Job& job, GangState state, double now);
+  static void set_run_state(Job& job, TaskRun& run, RunState state);
 
  private:
   std::map<JobId, std::unique_ptr<Job>> jobs_;
--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -194,7 +194,7 @@
   if (is_marked_cancelled(value)) {
     job->state = JobState::kOver;
     job->final_state = FinalState::kCancelled;
-    job->marked = true;
+    job->cancellation_marked = true;
     job->cancelled_ms = time_field(object, kCancelledField);
   }
   return job;
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -88,7 +88,7 @@
     Job* job = context_.jobs.find(id);
     if (job == nullptr || job->gang != GangState::kReserving) continue;
     placements_.release_reservations(*job);
-    JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
+    JobLedger::set_gang_state(*job, GangState::kQueued, context_.now.steady);
   }
 }
 
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -138,7 +138,7 @@
     return true;
   }
   if (run.state == RunState::kLaunched || run.state == RunState::kPlanned)
-    JobLedger::set_run(job, run, RunState::kPresent);
+    JobLedger::set_run_state(job, run, RunState::kPresent);
   if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning) run_began(machine, job, run);
   run.phase = task.phase;
   return false;
@@ -149,8 +149,8 @@
   run.running_since = now;
   machine.fetching += (now - run.launched_at) * job.spec.cpus;
   machine.images[job.spec.image] = now;
-  if (job.first_start != 0) return;
-  job.first_start = now;
+  if (job.first_started_at != 0) return;
+  job.first_started_at = now;
   const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
   if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
   context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
@@ -303,7 +303,7 @@
     if (Job* job = context_.jobs.find(id)) {
       placements_.release_reservations(*job);
       if (job->gang == GangState::kReserving)
-        JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
+        JobLedger::set_gang_state(*job, GangState::kQueued, context_.now.steady);
     }
   round_wanted_ = true;
 }
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -166,7 +166,7 @@
 
 void Scheduler::launched(Machine& machine, Job& job, TaskRun& run, LaunchPath path) {
   const bool direct = path == LaunchPath::kDirectCommand;
-  JobLedger::set_run(job, run, RunState::kLaunched);
+  JobLedger::set_run_state(job, run, RunState::kLaunched);
   run.launched_at = context_.now.steady;
   run.launch_agent_epoch = machine.agent_epoch;
   run.launch_seq = machine.seq;
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -90,7 +90,7 @@
         job->writing = false;
         if (outcome == WriteOutcome::kDone) {
           job->mod_revision = mod_revision;
-          job->marked = state == FinalState::kCancelled;
+          job->cancellation_marked = state == FinalState::kCancelled;
           job_over(*job, state);
         } else if (outcome == WriteOutcome::kConflict)
           read_job(id);
@@ -109,7 +109,7 @@
   Job* job = context_.jobs.find(id);
   if (job != nullptr) job_over(*job, FinalState::kCancelled);
   // For the mod revision of its record, which is deleted in the end.
-  if (!known || (job != nullptr && !job->marked)) read_job(id);
+  if (!known || (job != nullptr && !job->cancellation_marked)) read_job(id);
 }
 
 void Scheduler::read_job(JobId id) {
@@ -149,7 +149,7 @@
   if (read.mod_revision < job.mod_revision) return;  // answered before what we know of
   const bool cancelled = JobLedger::is_cancelled(read.value);
   job.mod_revision = read.mod_revision;
-  job.marked = cancelled;
+  job.cancellation_marked = cancelled;
   if (cancelled) {
     job.cancelled_on_record = true;
     job_over(job, FinalState::kCancelled);
@@ -202,8 +202,9 @@
         "ran {:.0f} s on average, {:.0f} s left",
         name_of(job), job.spec.job_class, job.spec.team, bookkeeping::to_text(state),
         (context_.now.wall_ms - job.submitted_ms) / 1000.0,
-        job.first_start > 0 ? job.first_start - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
-        job.spec.estimate_s, job.ran_count > 0 ? job.ran_sum / job.ran_count : 0.0, time_left(job));
+        job.first_started_at > 0 ? job.first_started_at - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
+        job.spec.estimate_s, job.run_time_count > 0 ? job.run_time_sum_s / job.run_time_count : 0.0,
+        time_left(job));
   queue_order_.mark_changed();
   if (context_.job_over) context_.job_over(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
@@ -311,7 +312,7 @@
   sort_queues();
   for (const auto id : gone) {
     Job& job = *context_.jobs.find(id);
-    if (job.marked)
+    if (job.cancellation_marked)
       context_.writer.submit(
           {WriteOp{JobLedger::live_key(id), job.mod_revision, std::nullopt}}, [](auto, auto) {},
           WritePriority::kBackground);
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -125,9 +125,9 @@
     if (place_gang(job, round.open)) return true;
     round.failed.push_back(&job.spec);
   }
-  if (now >= job.next_preempt && round.searches < c::kPreemptSearchesPerRoundMax) {
+  if (now >= job.next_preempt_search_at && round.searches < c::kPreemptSearchesPerRoundMax) {
     ++round.searches;
-    job.next_preempt = now + c::kPreemptSearchIntervalS;
+    job.next_preempt_search_at = now + c::kPreemptSearchIntervalS;
     preempt_for(job);
   }
   if (now - job.known_at > c::kGangClaimAfterS && round.claims < c::kGangClaimsPerRoundMax) {
@@ -202,7 +202,7 @@
     if (direct_.launches_directly() && direct_.can_send()) direct_.probe(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
-  JobLedger::set_gang(job, GangState::kReserving, context_.now.steady);
+  JobLedger::set_gang_state(job, GangState::kReserving, context_.now.steady);
   return true;
 }
 
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -29,7 +29,7 @@
       if (job.runs.empty()) return;
       // Taken over from an earlier leader: whole, or it has to start again.
       if (complete_set)
-        JobLedger::set_gang(job, GangState::kRunning, now);
+        JobLedger::set_gang_state(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
         stop_gang(job, StopMode::kAtOnce, "found incomplete by a new leader");
       return;
@@ -44,7 +44,7 @@
       spdlog::info("gang {}: reservations expired, queued again", name_of(job));
       context_.metrics.count("reservations_expired");
       placements_.release_reservations(job);
-      JobLedger::set_gang(job, GangState::kQueued, now);
+      JobLedger::set_gang_state(job, GangState::kQueued, now);
       return;
     }
     case GangState::kLaunching: {
@@ -52,7 +52,7 @@
           complete_set && std::all_of(job.runs.begin(), job.runs.end(), [](const auto& entry) {
             return entry.second.state == RunState::kPresent;
           });
-      if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
+      if (all_seen) return JobLedger::set_gang_state(job, GangState::kRunning, now);
       if (now - job.gang_since >
           c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
         stop_gang(job, StopMode::kAtOnce, "its tasks did not all start");
@@ -64,7 +64,7 @@
       if (job.runs.empty() && !unreconciled_.may_hold_tasks_of(job)) {
         context_.metrics.count("gangs_requeued");
         job.attempt = 0;
-        JobLedger::set_gang(job, GangState::kQueued, now);
+        JobLedger::set_gang_state(job, GangState::kQueued, now);
       }
       return;
   }
@@ -78,7 +78,7 @@
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
     plan(job, i, *context_.machines.find(places[i]), job.attempt);
-  JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
+  JobLedger::set_gang_state(job, GangState::kLaunching, context_.now.steady);
   if (!direct_.launches_directly()) return;
   for (const auto& name : std::set<std::string>(places.begin(), places.end()))
     if (direct_.can_send()) launch_directly(*context_.machines.find(name));
@@ -92,7 +92,7 @@
     return;
   }
   found->second.stop_grace = grace;
-  JobLedger::set_run(job, found->second, RunState::kStopping);
+  JobLedger::set_run_state(job, found->second, RunState::kStopping);
   stopping_.insert(found->second.machine);
   round_wanted_ = true;
 }
@@ -100,7 +100,7 @@
 void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
   placements_.release_reservations(job);
-  JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
+  JobLedger::set_gang_state(job, GangState::kStopping, context_.now.steady);
   const double grace = mode == StopMode::kOrderly && job.spec.checkpoint_s > 0
                            ? job.spec.save_s + context_.settings.gang_peer_s
                            : 0;
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -39,7 +39,7 @@
 }
 
 void Placements::add_run(Job& job, std::uint32_t index, TaskRun run, Machine& machine) {
-  job.take_task(index);
+  job.mark_placed(index);
   job.runs.emplace(index, std::move(run));
   machine.tasks.insert({job.spec.id, index});
   machine.free_resources_known = false;
@@ -69,7 +69,7 @@
 }
 
 void Placements::return_task(Job& job, std::uint32_t index) {
-  job.give_back(index);
+  job.requeue_task(index);
   if (!job.queued) array_unqueued_ = true;
 }
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -27,8 +27,8 @@
 void Scheduler::free_quota_for(Job& job) {
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
-  if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt) return;
-  job.next_preempt = now + c::kPreemptSearchIntervalS;
+  if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt_search_at) return;
+  job.next_preempt_search_at = now + c::kPreemptSearchIntervalS;
   const auto used = context_.quota.usage(job.spec.team);
   double excess = used.cpus + job.spec.cpus * job.spec.tasks - team->cpus_max;
   struct Victim {
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -34,7 +34,8 @@
 }
 
 bool QueueOrder::waited_too_long(const Job& job) const {
-  return !job.spec.gang && job.first_start == 0 && context_.now.steady - job.known_at > c::kArrayOverdueWaitS;
+  return !job.spec.gang && job.first_started_at == 0 &&
+         context_.now.steady - job.known_at > c::kArrayOverdueWaitS;
 }
 
 double QueueOrder::time_left(const Job& job) const {
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -18,10 +18,10 @@
 }
 
 void RunTimes::completed(Job& job, double ran) {
-  job.ran_sum += ran;
-  ++job.ran_count;
+  job.run_time_sum_s += ran;
+  ++job.run_time_count;
   // A large array must not drown all other jobs of its class.
-  if (job.spec.estimate_s <= 0 || job.ran_count > c::kLearnTasksPerJobMax) return;
+  if (job.spec.estimate_s <= 0 || job.run_time_count > c::kLearnTasksPerJobMax) return;
   auto& times = classes_[job.spec.job_class];
   const double weight = std::max(c::kLearnWeightMin, 1.0 / ++times.count);
   const auto follow = [&](double seen, double& mean, double& spread) {
@@ -37,7 +37,8 @@
 // The owner's estimate, put right by what the class is usually off by, and drawn towards the class's usual
 // run time the more the estimates scatter.
 double RunTimes::expected(const Job& job) const {
-  return job.ran_count >= c::kLearnCompletionsMin ? job.ran_sum / job.ran_count : expected(job.spec);
+  return job.run_time_count >= c::kLearnCompletionsMin ? job.run_time_sum_s / job.run_time_count
+                                                       : expected(job.spec);
 }
 
 double RunTimes::expected(const protocol::JobSpec& spec) const {
