--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -57,7 +57,7 @@
   std::uint64_t seq = 0;
   bool sent_heartbeat = false;  ///< to this leader
   /// Its worker has shown this leader's token: from then on its heartbeats are proof.
-  bool saw_term = false;
+  bool showed_token = false;
   /// On record from an earlier leader, and not proven yet: may hold tasks of that time.
   bool unreconciled = false;
   double last_heartbeat = -1e9;
@@ -105,7 +105,7 @@
 
   std::set<JobId> error_jobs;  ///< jobs that failed here since the last success
   int errors = 0;
-  int undelivered = 0;                  ///< commands in a row that newer heartbeats show were never taken
+  int undelivered_commands = 0;         ///< commands in a row that newer heartbeats show were never taken
   int unproven_answers = 0;             ///< answers in a row after which it still does not show the term
   double last_probe_at = -1e9;          ///< last direct command or probe
   int open_probes = 0;                  ///< of them, how many are open
--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -98,7 +98,7 @@
   return open_record_;
 }
 
-void MachineLedger::on_record(Machine& machine, const std::string& group) {
+void MachineLedger::on_record_written(Machine& machine, const std::string& group) {
   if (machine.record == group) leave_former_record(machine);
 }
 
@@ -119,7 +119,7 @@
   if (!machine.record.empty()) groups_[machine.record].urgent = true;
 }
 
-void MachineLedger::touch(Machine& machine) {
+void MachineLedger::mark_record_outdated(Machine& machine) {
   if (machine.state == MachineState::kGone) leave_former_record(machine);
   if (machine.record.empty()) return;  // written as soon as it has one
   auto& group = groups_[machine.record];
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -54,7 +54,7 @@
   /// Chooses records for machines that have none.
   void assign_records();
   /// The record of the group was written, and names the machine.
-  void on_record(Machine& machine, const std::string& group);
+  void on_record_written(Machine& machine, const std::string& group);
   /// The group's record has no use any more.
   static bool deletable(const MachineGroup& group) {
     return group.members.empty() && group.leaving.empty() && group.mod_revision != 0;
@@ -64,7 +64,7 @@
   static std::string group_of(const std::string& name);
   static std::string group_key(const std::string& group) { return machine_record_key(group); }
   /// The machine's record needs another look: it is gone, or something that is on record changed.
-  void touch(Machine& machine);
+  void mark_record_outdated(Machine& machine);
   /// Its heartbeats are not answered from now on; `since_ms`: time of day of the last answer it can have had.
   void set_unanswered(Machine& machine, std::int64_t since_ms);
   /// It may be answered again, once its record says so.
--- a/src/bookkeeping/quota.cpp
+++ b/src/bookkeeping/quota.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kLeastShare = 1e-9;  // a share of zero must not divide
+constexpr double kShareMin = 1e-9;  // a share of zero must not divide
 
 }  // namespace
 
@@ -105,7 +105,7 @@
 
 double QuotaAccounts::share_used(const std::string& team, double share) const {
   const auto used = usage(team);
-  return (used.cpus + used.gpus) / std::max(share, kLeastShare);
+  return (used.cpus + used.gpus) / std::max(share, kShareMin);
 }
 
 }  // namespace robinford::bookkeeping
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -88,7 +88,7 @@
   if (machine.unreconciled && scheduler_.phase() == LeaderPhase::kServing && view.few_unreconciled &&
       machine.probe_failures >= c::kProbeFailureThreshold)
     return "unresponsive since an earlier leader, and jobs wait for proof of what it runs";
-  if (machine.cordoned && (is_empty(machine) || !machine.saw_term)) return "it was cordoned";
+  if (machine.cordoned && (is_empty(machine) || !machine.showed_token)) return "it was cordoned";
   return nullptr;
 }
 
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -55,8 +55,8 @@
   budget_.take(1);
   Open open;
   open.machine = machine.name;
-  open.agent_epoch = machine.saw_term ? machine.agent_epoch : machine.agent_epoch_guess;
-  if (machine.saw_term) {
+  open.agent_epoch = machine.showed_token ? machine.agent_epoch : machine.agent_epoch_guess;
+  if (machine.showed_token) {
     open.known_agent_epoch = machine.agent_epoch;
     open.known_seq = machine.seq;
   }
@@ -96,8 +96,8 @@
 }
 
 bool DirectCommands::may_be_unreachable(const Machine& machine) const {
-  const bool commands_lost =
-      machine.undelivered >= c::kUndeliveredCommandsMax || machine.unproven_answers >= c::kUnprovenAnswersMax;
+  const bool commands_lost = machine.undelivered_commands >= c::kUndeliveredCommandsMax ||
+                             machine.unproven_answers >= c::kUnprovenAnswersMax;
   const double heartbeat_age_s = context_.now.steady - machine.last_heartbeat;
   return commands_lost &&
          heartbeat_age_s < 2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatSlackS;
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -42,11 +42,12 @@
     return direct_command_failed(*machine);
   if (heartbeat->fencing_token > election_.term())
     return election_.higher_term_seen(heartbeat->fencing_token);
-  machine->undelivered = 0;
+  machine->undelivered_commands = 0;
   machine->probe_failures = 0;
   machine->agent_epoch_guess = heartbeat->agent_epoch;
-  const bool counters_went_back = machine->saw_term && std::tie(heartbeat->agent_epoch, heartbeat->seq) <
-                                                           std::tie(open->known_agent_epoch, open->known_seq);
+  const bool counters_went_back =
+      machine->showed_token &&
+      std::tie(heartbeat->agent_epoch, heartbeat->seq) < std::tie(open->known_agent_epoch, open->known_seq);
   if (counters_went_back) return return_reset_machine(*machine);
   if (heartbeat->fencing_token == election_.term()) return direct_command_answered(*machine, *heartbeat);
   // It refused because its agent epoch was not the one that we guessed, and so did not learn our token.
@@ -68,7 +69,7 @@
 // The worker's answer shows our token: it is as good as a heartbeat, except that a launch in the answer to
 // the last real heartbeat may still be on its way.
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
-  if (!machine.saw_term || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
+  if (!machine.showed_token || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
     apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
   if (may_place()) check_reserving_gangs(machine);
 }
@@ -143,7 +144,7 @@
       }
     }
     it = any ? std::next(it) : stopping_.erase(it);
-    if (!commands.empty() && machine->saw_term) direct_.send(*machine, std::move(commands));
+    if (!commands.empty() && machine->showed_token) direct_.send(*machine, std::move(commands));
   }
 }
 
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -43,7 +43,7 @@
 
 // What a newer heartbeat of a machine proves, once it shows our token.
 void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, HeartbeatSource source) {
-  const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
+  const bool agent_restarted = machine.showed_token && heartbeat.agent_epoch > machine.agent_epoch;
   if (agent_restarted) on_agent_restart(machine);
   take_machine_facts(machine, heartbeat);
   const auto shown = tasks_shown(heartbeat);
@@ -90,7 +90,7 @@
     machine.spot = heartbeat.spot;
     know_type(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
   record_contact(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
@@ -129,7 +129,7 @@
 bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
   if (!run.seen) {  // it took a command
-    machine.undelivered = 0;
+    machine.undelivered_commands = 0;
     machine.probe_failures = 0;
   }
   run.seen = true;
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -55,8 +55,8 @@
     context_.machines.clear_unanswered(*machine);
     return actions_.answer(key, 503, {});
   }
-  if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
-                            !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
+  if (machine->showed_token && (heartbeat.fencing_token < election_.term() ||
+                                !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
     // A late copy: it renews nothing. Or the machine was reset, which only a probe can tell.
     probe_if_suspect(*machine);
     return actions_.answer(key, 503, {});
@@ -77,7 +77,7 @@
   Machine* machine = phase_ == LeaderPhase::kLoading || fencing_token != election_.term()
                          ? nullptr
                          : context_.machines.find(name);
-  if (machine == nullptr || !machine->saw_term || machine->agent_epoch != agent_epoch ||
+  if (machine == nullptr || !machine->showed_token || machine->agent_epoch != agent_epoch ||
       machine->seq != base_seq || seq <= base_seq || machine->state == MachineState::kGone ||
       machine->unanswered_since_ms || machine->unanswered_on_record || !machine->clears.empty() ||
       !machine->unknown_tasks.empty())
@@ -121,7 +121,7 @@
     machine.spot = heartbeat.spot;
     know_type(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
   // It was answered with our token again and again and still does not show it: our answers don't reach it.
   if (++machine.unproven_answers >= c::kUnprovenAnswersMax) probe_if_suspect(machine);
 }
@@ -129,10 +129,10 @@
 // Liveness: only a newer heartbeat of the machine counts.
 void Scheduler::record_contact(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
   const double now = context_.now.steady;
-  if (!machine.saw_term || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
+  if (!machine.showed_token || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
   machine.agent_epoch = agent_epoch;
   machine.seq = seq;
-  machine.saw_term = true;
+  machine.showed_token = true;
   machine.unproven_answers = 0;
   context_.machines.clear_unanswered(machine);
   mark_reconciled(machine);
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -53,8 +53,8 @@
 // Commands that newer heartbeats show were never taken. Whether the machine is unreachable is settled by a
 // probe.
 void Scheduler::note_undelivered(Machine& machine, int by) {
-  machine.undelivered += by;
-  if (machine.undelivered >= c::kUndeliveredCommandsMax) probe_if_suspect(machine);
+  machine.undelivered_commands += by;
+  if (machine.undelivered_commands >= c::kUndeliveredCommandsMax) probe_if_suspect(machine);
 }
 
 void Scheduler::probe_if_suspect(Machine& machine) {
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -29,7 +29,7 @@
   // controller, and was given work by direct commands, was once taken for free of it while its newest agent
   // epoch still ran.
   double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
-  if (!machine.saw_term) last = std::max(last, election_.former_leaders_stopped_at());
+  if (!machine.showed_token) last = std::max(last, election_.former_leaders_stopped_at());
   return last;
 }
 
@@ -135,7 +135,7 @@
         machine.lost / cpu_seconds_percent, machine.fetching / cpu_seconds_percent);
   }
   machine.direct.clear();
-  context_.machines.touch(machine);
+  context_.machines.mark_record_outdated(machine);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -92,7 +92,7 @@
   group.mod_revision = record.named.empty() ? 0 : mod_revision;
   for (const auto& member : record.named)
     if (Machine* machine = context_.machines.find(member))
-      context_.machines.on_record(*machine, record.group);
+      context_.machines.on_record_written(*machine, record.group);
   for (const auto& [member, addr] : record.launchable_addrs) {
     Machine* machine = context_.machines.find(member);
     if (machine == nullptr) continue;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -226,7 +226,7 @@
     // One unanswered probe is enough here: an unresponsive machine proves nothing by being waited for, and
     // what may be on it stays blocked until it does.
     if (machine.unreconciled && machine.probe_failures == 0) return false;
-    any = any || machine.saw_term;
+    any = any || machine.showed_token;
   }
   return any;
 }
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -115,7 +115,7 @@
     return;
   for (auto& [name, machine] : context_.machines.all()) {
     if (!direct_.can_send() || !direct_.within_budget()) return;
-    if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
+    if (machine.open_probes > 0 || !machine.recorded || machine.undelivered_commands > 0 ||
         machine.direct.size() >= c::kListedDirectAttemptsMax)
       continue;
     if (fill(machine) > 0) launch_directly(machine);
--- a/tests/bookkeeping/machine_records_test.cpp
+++ b/tests/bookkeeping/machine_records_test.cpp
@@ -42,7 +42,7 @@
     records[name] = ledger.group_record(name, kTerm, named);
     group.mod_revision = 1;
     group.urgent = group.outdated = false;
-    for (const auto& member : group.members) ledger.on_record(*ledger.find(member), name);
+    for (const auto& member : group.members) ledger.on_record_written(*ledger.find(member), name);
     for (const auto& member : named) ledger.find(member)->recorded = true;
   }
 }
@@ -111,7 +111,7 @@
         records[name] = ledger.group_record(name, kTerm, named);
         group.mod_revision = 1;
         group.urgent = group.outdated = false;
-        for (const auto& member : group.members) ledger.on_record(*ledger.find(member), name);
+        for (const auto& member : group.members) ledger.on_record_written(*ledger.find(member), name);
       }
       EXPECT_EQ(all_named(records).size(), 300u);
       EXPECT_EQ(read_back(records).all().size(), 300u);
@@ -177,7 +177,7 @@
   ledger.lay_out_by_size(kLimit, kTerm);
   Machine& gone = *ledger.find(name_of(0));
   MachineLedger::set_state(gone, MachineState::kGone);
-  ledger.touch(gone);
+  ledger.mark_record_outdated(gone);
   ledger.assign_records();
   write_all(ledger, records);
   write_all(ledger, records);
