--- a/src/bookkeeping/calls.hpp
+++ b/src/bookkeeping/calls.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Calls that wait for an answer, whichever service they went to.
+/// Calls in flight to any service.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,25 @@
 
 namespace robinford::bookkeeping {
 
-/// Takes the answer of a call. Status 0: none came in time, and the call may have been carried out.
+/// Receives the answer to a call. Status 0: no answer came in time, and the call may have been carried out.
 using ResultCallback = std::function<void(const protocol::CallResult&)>;
 
-/// Numbers calls, puts them into the outbox, and brings each answer to whoever waits for it.
+/// Numbers calls, puts them into the outbox and passes each answer to its callback.
 ///
-/// Each callback is called once at most, by on_result() and never by send(). It may send further calls.
+/// Each callback is called at most once, by on_result() and never by send(). It may send further calls.
 class CallTable {
  public:
   explicit CallTable(protocol::Outbox& out) : out_(out) {}
 
-  /// Adds the call to the outbox under a number of its own, whatever its `id` was.
+  /// Adds the call to the outbox with a new unique `id`.
   void send(protocol::Call call, ResultCallback answered) {
     call.id = next_id_++;
     waiting_.emplace(call.id, std::move(answered));
     out_.calls.push_back(std::move(call));
   }
 
-  /// The answer to a call, or its timeout. One to an unknown or answered call is dropped.
+  /// Handles the answer to a call or its timeout. A result for an unknown or already answered call is
+  /// dropped.
   void on_result(std::uint64_t id, const protocol::CallResult& result) {
     const auto found = waiting_.find(id);
     if (found == waiting_.end()) return;
--- a/src/bookkeeping/dependency_graph.cpp
+++ b/src/bookkeeping/dependency_graph.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ends of dependencies, and the order from dependents to dependencies.
+/// Updates of the graph when jobs end, and its topological order.
 #include "bookkeeping/dependency_graph.hpp"
 
 namespace robinford::bookkeeping {
--- a/src/bookkeeping/dependency_graph.hpp
+++ b/src/bookkeeping/dependency_graph.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which waiting jobs need which others. Section "Dependencies" of docs/design.md.
+/// Graph of jobs that wait for other jobs. Section "Dependencies" of docs/design.md.
 #pragma once
 
 #include <map>
@@ -10,40 +10,41 @@
 
 namespace robinford::bookkeeping {
 
-/// The dependencies that are not known to be over, and who becomes ready or is cancelled when one ends.
+/// Holds the dependencies that are not known to be over, and computes which jobs become ready or are
+/// cancelled when one ends.
 ///
-/// It does no I/O. Its owner reports final states only once they are durable, so that what follows from them
-/// still holds after a failover. Invariant: both maps have the same pairs, and no empty sets.
+/// It does no I/O. Its owner reports final states only once they are durable, so that the consequences still
+/// hold after a failover. Invariant: both maps have the same pairs, and no empty sets.
 class DependencyGraph {
  public:
-  /// `dependent` waits for `dependency`.
+  /// An edge: `dependent` waits for `dependency`.
   struct Dependency {
     JobId dependent = 0;
     JobId dependency = 0;
   };
 
-  /// What the end of a job means for the jobs that wait.
+  /// Consequences of the end of a job for waiting jobs.
   struct Outcome {
-    std::vector<JobId> ready;      ///< their last dependency is done
-    std::vector<JobId> cancelled;  ///< they need the job directly or through others
+    std::vector<JobId> ready;      ///< jobs whose last dependency is done
+    std::vector<JobId> cancelled;  ///< jobs that depend on the job directly or indirectly
   };
 
   void clear();
-  /// `dependent` waits for all of `dependencies`. Repeating the call changes nothing.
+  /// Makes `dependent` wait for all of `dependencies`. The call is idempotent.
   void add(JobId dependent, const std::vector<JobId>& dependencies);
-  /// The job waits no more, for whatever reason.
+  /// Removes a waiting job and its dependencies.
   void remove(JobId dependent);
-  /// The final state of a job is durable. Jobs named in the outcome have left the graph.
+  /// Handles the durable final state of a job. The jobs in the outcome are removed from the graph.
   Outcome finished(JobId id, FinalState state);
 
-  /// Whether the job waits for any other.
+  /// Whether the job waits for another job.
   bool waits(JobId id) const { return dependencies_.contains(id); }
   /// Dependencies of a waiting job that are not known to be over; none for any other job.
   const std::set<JobId>& dependencies(JobId dependent) const;
-  /// Every job that some other waits for, with those that wait for it.
+  /// Every job that others wait for, with the set of waiting jobs.
   const std::map<JobId, std::set<JobId>>& dependents() const { return dependents_; }
-  /// Every pair, ordered so that whatever depends on a dependent comes before it. One pass over the graph,
-  /// without recursion, as chains may be long. Pairs on a ring, or behind one, are left out.
+  /// All edges in topological order: edges into a job precede the edges from it to its dependencies.
+  /// Iterative, since chains may be long. Edges on a cycle, or reachable from one, are left out.
   std::vector<Dependency> dependents_first() const;
 
  private:
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Names of a job's states, and the order in which its tasks are placed.
+/// Names of job states, and the order in which the tasks of a job are placed.
 #include "bookkeeping/job.hpp"
 
 #include "protocol/names.hpp"
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The jobs that the leader works on, and the final states that it has seen lately.
+/// The jobs of the leader, and a cache of final states.
 #pragma once
 
 #include <cstddef>
@@ -19,25 +19,26 @@
 
 /// Owns the jobs in memory, by id.
 ///
-/// On a leader it holds every job that has a live record, and those that are over while something of them may
-/// still be on a machine. Elsewhere it has no jobs. Final states are a bounded cache, on every controller.
+/// On a leader it holds every job that has a live record, and jobs that are over while a machine may still
+/// hold tasks of them. On other controllers it holds no jobs. Every controller has a bounded cache of final
+/// states.
 class JobLedger {
  public:
-  /// Forgets the jobs, at the end of a leader's term. Final states never change, and stay.
+  /// Removes the jobs at the end of a leader's term. Final states are immutable and are kept.
   void clear();
   /// The job, or null. Valid until the job is erased or added again.
   Job* find(JobId id);
-  /// Adds a job that was just admitted, replacing one of the same id. It waits if it has dependencies.
+  /// Adds a newly admitted job and replaces one with the same id. A job with dependencies starts as kWaiting.
   Job& add(JobSpec spec, std::uint64_t mod_revision, std::int64_t submitted_ms, double now);
   void erase(JobId id);
   std::map<JobId, std::unique_ptr<Job>>& all() { return jobs_; }
 
-  /// Nothing: not known here, which does not mean that the job is not over.
+  /// The cached final state. Empty if it is not cached; the job may be over all the same.
   std::optional<FinalState> final_state(JobId id) const;
-  /// Remembers a durable final state. The oldest leave when there are more than constants::kFinalCacheMax.
+  /// Caches a durable final state. The oldest entry is evicted above constants::kFinalCacheMax entries.
   void remember_final(JobId id, FinalState state);
 
-  // Short forms of the functions in job_record.hpp, for callers that need no reason of a failure.
+  // Shorthands for the functions in job_record.hpp, for callers that do not need the reason of a failure.
   static boost::json::object record(const Job& job, std::size_t limit, bool& whole) {
     auto encoded = encode_job(job, limit);
     whole = encoded.complete;
@@ -59,7 +60,7 @@
   static std::string live_key(JobId id) { return live_job_key(id); }
   static std::string final_key(JobId id) { return final_job_key(id); }
 
-  // One function for each kind of state: each change is logged.
+  // Setters of the three kinds of state. Each change is logged.
   static void set_state(Job& job, JobState state);
   static void set_gang_state(Job& job, GangState state, double now);
   static void set_run_state(Job& job, TaskRun& run, RunState state);
@@ -67,7 +68,7 @@
  private:
   std::map<JobId, std::unique_ptr<Job>> jobs_;
   std::unordered_map<JobId, FinalState> finals_;
-  std::list<JobId> final_order_;  // oldest first, for the bound
+  std::list<JobId> final_order_;  // oldest first, for eviction
 };
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Live and final records of jobs as JSON.
+/// Encoding and decoding of live and final job records.
 #include "bookkeeping/job_record.hpp"
 
 #include <string>
@@ -19,24 +19,25 @@
 constexpr char kReadyField[] = "ready";    // time of day of the end of the last dependency, ms
 // Completions as hexadecimal digits, task 0 in the lowest bit of the first digit.
 constexpr char kDoneBitsField[] = "bits";
-// Stands before the zone of a job that waits for others. No machine is in such a zone, so a leader of a
-// version that knows no dependencies keeps the job pending, and keeps the zone when it rewrites the record.
+// Prefix of the zone of a job that waits for dependencies. No machine is in such a zone, so during a rolling
+// upgrade a leader without support for dependencies keeps the job pending instead of launching it, and keeps
+// the zone when it rewrites the record.
 constexpr char kWaitingZonePrefix[] = "waiting:";
 constexpr char kFinalDone[] = "d";
 constexpr char kFinalCancelled[] = "w";
 
-constexpr std::size_t kFieldBytes = 32;  // names, quotes and commas of one field, at most
+constexpr std::size_t kFieldBytes = 32;  // upper bound on the name, quotes and commas of one field
 constexpr std::uint32_t kBitsPerDigit = 4;
-constexpr std::size_t kIndexDigitsMax = 9;  // more digits than any task index has
+constexpr std::size_t kIndexDigitsMax = 9;  // no task index has this many digits
 
-// As many ranges as fit, from the first task on.
+// As many ranges of completed tasks as fit, from the first task on.
 struct DoneRanges {
   std::string text;
-  bool complete = true;  // none was left out
+  bool complete = true;  // no range was left out
 };
 
-// Completions as ranges "from-to" or "one", joined by commas, in at most `limit` bytes. Tasks start in order,
-// so there are few ranges.
+// Encodes completions as comma-separated ranges "from-to" or single indexes in at most `limit` bytes. Tasks
+// start in order, so there are few ranges.
 DoneRanges done_ranges(const Job& job, std::size_t limit) {
   DoneRanges ranges;
   std::uint32_t index = 0;
@@ -84,7 +85,7 @@
   }
 }
 
-// Takes a task index off the front of `text`; nothing when there is none below `tasks`.
+// Consumes a task index at the front of `text`; empty if there is none below `tasks`.
 std::optional<std::uint32_t> take_index(std::string_view& text, std::uint32_t tasks) {
   std::uint64_t index = 0;
   std::size_t digits = 0;
@@ -97,7 +98,7 @@
   return static_cast<std::uint32_t>(index);
 }
 
-// Reads up to the first range that is malformed.
+// Reads the ranges up to the first malformed one.
 void read_done_ranges(Job& job, std::string_view text) {
   while (!text.empty()) {
     const auto first = take_index(text, job.spec.tasks);
@@ -128,8 +129,8 @@
   return error ? 0 : time;
 }
 
-// A record with the waiting zone and without dependencies was rewritten by a version that knows none, after
-// the job had been released.
+// A record that has the waiting prefix but no dependencies belongs to a job that had been released when a
+// version without support for dependencies rewrote the record.
 void read_waiting(Job& job) {
   auto& spec = job.spec;
   const std::string_view prefix = kWaitingZonePrefix;
@@ -158,8 +159,8 @@
   auto ranges = done_ranges(job, left);
   bool complete = ranges.complete;
   if (!complete) {
-    // Many scattered completions take fewer bytes as bits. An older version reads the ranges only, and runs
-    // the tasks that it does not find there once more.
+    // Many scattered completions take fewer bytes as bits. An older version reads only the ranges and runs
+    // the tasks that are missing there again.
     const std::string bits = done_bits(job);
     if (bits.size() + kFieldBytes <= left) {
       ranges = done_ranges(job, left - bits.size() - kFieldBytes);
--- a/src/bookkeeping/job_record.hpp
+++ b/src/bookkeeping/job_record.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Durable records of jobs: encoding and decoding, without any state of their own.
+/// Stateless encoding and decoding of the durable records of jobs.
 ///
-/// The live record says what the job is, when it was submitted and which tasks are done; the final record how
-/// it ended. Fields keep their names and order: versions before read and rewrite the same records during a
-/// rolling upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks that.
+/// The live record holds the description of the job, its submission time and its completed tasks; the final
+/// record holds how it ended. Fields must keep their names and order, because older versions read and rewrite
+/// the same records during a rolling upgrade (docs/design.md, "Rolling upgrade").
+/// tests/recorded_bytes_test.cpp checks this.
 #pragma once
 
 #include <boost/json.hpp>
@@ -17,41 +18,42 @@
 
 namespace robinford::bookkeeping {
 
-/// Field of a change-log entry: the job that it names is cancelled.
+/// Field of a change log entry that marks the named job as cancelled.
 inline constexpr char kEntryCancelled[] = "withdrawn";
 
-/// A live record to be written.
+/// An encoded live record.
 struct EncodedJob {
   boost::json::object value;
-  /// All completions are in it. Those that are not would run once more after a failover.
+  /// Whether it contains all completions. Tasks whose completion is missing run again after a failover.
   bool complete = false;
 };
 
-/// Why a live record cannot be read.
+/// Why a live record cannot be decoded.
 enum class JobRecordError : std::uint8_t {
   kNotAnObject,
   kNoDescription,
   kMalformedDescription,
 };
 
-/// The live record in at most `limit` bytes, with as many completions as fit. One whose description alone
-/// takes more is longer than the limit.
+/// Encodes the live record in at most `limit` bytes, with as many completions as fit. The record exceeds the
+/// limit if the description alone does.
 EncodedJob encode_job(const Job& job, std::size_t limit);
 
-/// The job of a live record, as the state service returned it at `mod_revision`. A record marked as cancelled
-/// gives a job that is over. Malformed completions are left out: those tasks run once more, and end at once.
-/// @param now steady time, s
+/// Decodes a live record that the state service returned at `mod_revision`. A record marked as cancelled
+/// yields a job that is over. Malformed completions are left out, so those tasks run again and end at once.
+/// @param now time of the steady clock, in s
 boost::system::result<std::unique_ptr<Job>, JobRecordError> decode_job(const boost::json::value& value,
                                                                        std::uint64_t mod_revision,
                                                                        double now);
 
-/// The live record of a cancelled job keeps its description until nothing of the job can be on any machine: a
-/// new leader has to know what may still run. @param at_ms time of day of the cancellation
+/// Marks the live record of a cancelled job. The record keeps its description until no machine can hold a
+/// task of the job, because a new leader must know what may still be running.
+/// @param at_ms time of day of the cancellation, in ms
 boost::json::object mark_cancelled(boost::json::object live, std::int64_t at_ms);
 bool is_marked_cancelled(const boost::json::value& live);
 
 boost::json::object encode_final(FinalState state);
-/// Nothing when the value is no final record.
+/// Decodes a final record; empty if the value is not one.
 std::optional<FinalState> decode_final(const boost::json::value& value);
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One machine in memory: what its heartbeats prove, what may be on it, and which record names it. Sections
-/// "What was added" and "States" of docs/design.md. What of it is durable: machine_record.hpp.
+/// A machine in memory: what its heartbeats have shown, what it may hold, and which record names it. Sections
+/// "What was added" and "States" of docs/design.md. Its durable part is defined in machine_record.hpp.
 #pragma once
 
 #include <cstdint>
@@ -19,27 +19,29 @@
 using protocol::JobId;
 using protocol::TaskId;
 
-/// State of a machine for the leader.
+/// State of a machine as the leader sees it.
 enum class MachineState : std::uint8_t {
-  kBooting,       ///< provisioned or listed, never sent a heartbeat to this leader
+  kBooting,       ///< provisioned or listed; has never sent a heartbeat to this leader
   kUp,            ///< sends heartbeats
-  kUnresponsive,  ///< was expected to send heartbeats and does not
-  kReturning,     ///< its return was asked for; all on it counts until the cloud's answer
+  kUnresponsive,  ///< expected to send heartbeats but does not
+  kReturning,     ///< its return was decided; its tasks count until the cloud confirms it
   kGone,          ///< the cloud confirmed the return
 };
 /// The state's name in log lines.
 const char* to_text(MachineState state);
 
-/// An attempt that the worker lists as over, and shall forget.
+/// An attempt that the worker lists as exited and is to remove from its list.
 struct PendingClear {
   TaskId task;
   std::uint64_t attempt = 0;
 };
 
-/// A machine that exists, or may. Names ending in `_ms` are times of day in ms, other times steady in s.
+/// A machine that exists or may exist. Names ending in `_ms` are times of day in ms, other times those of the
+/// steady clock in s.
 ///
 /// Invariants: `tasks` are exactly the runs of the job ledger on this machine, and `reservations` the gangs
-/// with a reservation here; a machine is launched on only while `recorded` and without `unanswered_since_ms`.
+/// with a reservation here; tasks are launched on a machine only while it is `recorded` and has no
+/// `unanswered_since_ms`.
 struct Machine {
   std::string name;
   std::string addr;
@@ -47,25 +49,25 @@
   std::string zone;
   bool spot = false;
   MachineState state = MachineState::kBooting;
-  // Its type's amounts, in all.
+  // Total amounts of its type.
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
 
-  // The newest heartbeat that counted.
+  // Counters of the newest accepted heartbeat.
   std::uint64_t agent_epoch = 0;
   std::uint64_t seq = 0;
-  bool sent_heartbeat = false;  ///< to this leader
-  /// Its worker has shown this leader's token: from then on its heartbeats are proof.
+  bool sent_heartbeat = false;  ///< whether this leader has received a heartbeat from it
+  /// Its worker has shown this leader's fencing token. From then on its heartbeats are accepted as evidence.
   bool showed_token = false;
-  /// On record from an earlier leader, and not proven yet: may hold tasks of that time.
+  /// Recorded by an earlier leader and not yet reconciled: it may hold that leader's tasks.
   bool unreconciled = false;
   double last_heartbeat = -1e9;
-  double last_answer = -1e9;  ///< the last 200 with this leader's token
-  /// When its present agent epoch was first shown with this leader's token: it began, and its last heartbeat
-  /// that anybody else answered was sent, no later than that.
+  double last_answer = -1e9;  ///< the last 200 answer with this leader's token
+  /// When its current agent epoch was first shown with this leader's token. The epoch began before that time,
+  /// and every heartbeat that another controller answered was sent before it.
   double agent_epoch_shown_at = -1e9;
-  std::optional<double> interruption_at;  ///< when the cloud takes it
+  std::optional<double> interruption_at;  ///< when the cloud interrupts it (spot)
   double known_at = 0;
   double provisioned_at = 0;
   double up_at = 0;
@@ -73,67 +75,70 @@
   double last_listed = -1e9;
 
   std::set<TaskId> tasks;        ///< runs of the job ledger on this machine
-  std::set<JobId> reservations;  ///< gangs that hold capacity here (possibly several reservations each)
-  /// Cancelled jobs of which it may hold tasks, and when it is given back unless it has shown that they are
-  /// gone.
+  std::set<JobId> reservations;  ///< gangs with one or more reservations here
+  /// Cancelled jobs of which it may hold tasks, each with the time at which the machine is returned unless a
+  /// heartbeat has shown that they are gone.
   std::map<JobId, double> overdue;
   std::vector<PendingClear> clears;
-  /// On it by its last heartbeat, but nobody's: to be stopped.
+  /// Tasks in its last heartbeat that the leader does not want there. They are to be stopped.
   std::vector<protocol::TaskStatus> unknown_tasks;
-  /// What they cost their teams: cpus, gpus.
+  /// What these tasks charge to each team: cpus, gpus.
   std::map<std::string, std::pair<double, double>> unknown_task_charge;
-  std::uint32_t gang_tasks = 0;  ///< of the tasks, those of gangs, ...
-  double gang_cpus = 0;          ///< ... and what they and the reservations take
-  /// Attempts started by a direct command under this term and in `direct_agent_epoch`. Such a command may be
-  /// carried out late or once more, which does nothing while the attempt is listed: so these are never
-  /// cleared. Section "Direct launches".
+  std::uint32_t gang_tasks = 0;  ///< number of tasks here that belong to gangs
+  double gang_cpus = 0;          ///< cpus that these tasks and the reservations take
+  /// Attempts started by a direct command in this term and in `direct_agent_epoch`. Such a command may take
+  /// effect late or twice, which does nothing while the worker lists the attempt. These attempts are
+  /// therefore never cleared. Section "Direct launches".
   std::set<std::pair<TaskId, std::uint64_t>> direct;
   std::uint64_t direct_agent_epoch = 0;
 
-  /// Its heartbeats are not answered after that moment until its record no longer says so: a later leader
-  /// reckons its lease from there, and not from its own beginning. Nothing is launched there meanwhile.
+  /// Its heartbeats are not answered after this time until its record no longer says so. A later leader
+  /// computes the end of its lease from this time instead of from the beginning of its own term. Nothing is
+  /// launched on the machine meanwhile.
   std::optional<std::int64_t> unanswered_since_ms;
-  /// A record that says so is written, or may be.
+  /// Whether a record that says so is durable or may be.
   bool unanswered_on_record = false;
-  std::string record;         ///< the durable record that names it, or will; empty: none is chosen yet
-  std::string former_record;  ///< names it too, until `record` surely does
-  bool recorded = false;      ///< named, with its address, by a durable record
-  std::string recorded_addr;  ///< as that record has it
-  /// `free_resources` is what the tasks, reservations and unknown tasks leave.
+  std::string record;         ///< the record that names it or is to name it; empty: none is assigned yet
+  std::string former_record;  ///< also names it until `record` durably does
+  bool recorded = false;      ///< a durable record names it with its address
+  std::string recorded_addr;  ///< address in that record
+  /// Whether `free_resources` is up to date with tasks, reservations and unknown tasks.
   bool free_resources_known = false;
   Resources free_resources;
 
-  std::set<JobId> error_jobs;  ///< jobs that failed here since the last success
+  std::set<JobId> error_jobs;  ///< jobs with a failed task here since the last success
   int errors = 0;
-  int undelivered_commands = 0;         ///< commands in a row that newer heartbeats show were never taken
-  int unproven_answers = 0;             ///< answers in a row after which it still does not show the term
-  double last_probe_at = -1e9;          ///< last direct command or probe
-  int open_probes = 0;                  ///< of them, how many are open
-  int probe_failures = 0;               ///< in a row
-  std::uint64_t agent_epoch_guess = 1;  ///< for a probe to a machine that has proved nothing yet
-  bool agent_reset = false;  ///< its counters went back: only the cloud's answer settles what was on it
-  bool offered = false;      ///< its free capacity was offered to the waiting gangs since it last grew
-  bool cordoned = false;     ///< takes nothing new
-  // What its time went into, in core seconds: for the log line at its end.
+  int undelivered_commands = 0;         ///< consecutive commands that newer heartbeats show as never received
+  int unproven_answers = 0;             ///< consecutive answers after which it does not show the token
+  double last_probe_at = -1e9;          ///< time of the last direct command or probe
+  int open_probes = 0;                  ///< direct commands and probes in flight
+  int probe_failures = 0;               ///< consecutive failures
+  std::uint64_t agent_epoch_guess = 1;  ///< used to probe a machine that has not shown the token
+  /// Its counters went back. Only the cloud's confirmation of its return ends its tasks.
+  bool agent_reset = false;
+  bool offered = false;   ///< its free capacity was offered to the waiting gangs since it last increased
+  bool cordoned = false;  ///< accepts no new work
+  // Core seconds by kind of use, for the log line when the machine is gone.
   double useful = 0;
   double lost = 0;
   double fetching = 0;
-  bool draining = false;  ///< takes no new array tasks: more capacity than needed
+  bool draining = false;  ///< accepts no new array tasks, since there is more capacity than needed
   double idle_since = 0;
-  std::optional<JobId> reserved_by;  ///< capacity being emptied for this gang
+  std::optional<JobId> reserved_by;  ///< gang for which its capacity was preempted
   double reserved_until = 0;
-  std::map<std::string, double> images;  ///< image -> last use
+  std::map<std::string, double> images;  ///< time of the last use by image
 };
 
-/// A durable record that names several machines, so that one change covers a whole provisioning request.
+/// The machines of one durable record. A record names several, so that one write covers a whole provisioning
+/// request.
 struct MachineGroup {
-  std::uint64_t mod_revision = 0;  ///< 0: there is no such record
+  std::uint64_t mod_revision = 0;  ///< 0: the record does not exist
   bool writing = false;
-  bool urgent = false;    ///< names a machine that is not on record yet
-  bool outdated = false;  ///< names one that is gone, or an address is missing
+  bool urgent = false;    ///< the record must be written for a machine that launches wait for
+  bool outdated = false;  ///< the record names a machine that is gone, or lacks an address
   double last_write = -1e9;
   std::set<std::string> members;
-  std::set<std::string> leaving;  ///< named by it still, and not yet by their new record
+  std::set<std::string> leaving;  ///< still named by this record, not yet by their new one
 };
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The part of MachineLedger that spreads machines over durable records. Section "Limits of the state
+/// Assignment of machines to durable records (part of MachineLedger). Section "Limits of the state
 /// service" of docs/design.md.
 #include <utility>
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr char kSizedPrefix = 's';            // of the names of records by size
-constexpr char kNumberedPrefix = 'g';         // ...by number
-constexpr std::size_t kNumberDigitsMax = 15;  // a name with a longer number stands alone
+constexpr char kSizedPrefix = 's';            // prefix of the names of records by size
+constexpr char kNumberedPrefix = 'g';         // prefix of the names of records by number
+constexpr std::size_t kNumberDigitsMax = 15;  // a machine with a longer number has its own record
 
-// The bytes that it may take in a record, with the longest address.
+// Upper bound on the bytes of its entry in a record, with the longest address.
 std::size_t bytes_on_record(const Machine& machine) {
   return machine.name.size() + machine.type.size() + machine.zone.size() +
          constants::kMachineEntryOverheadBytes;
@@ -26,7 +26,7 @@
 }  // namespace
 
 std::string MachineLedger::group_of(const std::string& name) {
-  // Names end in the number of their creation; any other name stands alone.
+  // Machine names end in a serial number. A machine with another name has its own record.
   std::size_t digits = 0;
   while (digits < name.size() && name[name.size() - 1 - digits] >= '0' &&
          name[name.size() - 1 - digits] <= '9')
@@ -83,8 +83,8 @@
   }
 }
 
-// The one that took the last machine, so that a provisioning request stands in few records; else one that is
-// half empty.
+// Returns the record that received the last machine, so that a provisioning request takes few records. If it
+// is full, returns another one that stays at most half full, or else a new one.
 std::string MachineLedger::record_with_space(std::size_t bytes) {
   if (const auto open = groups_.find(open_record_);
       open != groups_.end() && bytes_of(open->second) + bytes <= record_limit_)
@@ -121,7 +121,7 @@
 
 void MachineLedger::mark_record_outdated(Machine& machine) {
   if (machine.state == MachineState::kGone) leave_former_record(machine);
-  if (machine.record.empty()) return;  // written as soon as it has one
+  if (machine.record.empty()) return;  // assign_records() marks the record for writing
   auto& group = groups_[machine.record];
   (machine.recorded ? group.outdated : group.urgent) = true;
 }
@@ -133,7 +133,7 @@
   for (const auto& name : groups_[group].members) {
     Machine* machine = find(name);
     if (machine == nullptr || machine->state == MachineState::kGone) continue;
-    // Where that does not fit, its lease is reckoned the longer way.
+    // If the entry does not fit, a later leader computes the lease from the beginning of its own term.
     if (machine->unanswered_since_ms) bytes += name.size() + constants::kUnansweredEntryOverheadBytes;
     if (machine->unanswered_since_ms && layout_ == RecordLayout::kBySize && bytes > record_limit_)
       machine->unanswered_since_ms.reset();
@@ -167,8 +167,8 @@
   const bool known = find(entry.name) != nullptr;
   Machine& machine = known ? *find(entry.name) : add(entry.name, now);
   if (known) {
-    // Two records name it: it was being moved. Should one of them not call it unanswered, its heartbeats
-    // may have been answered since.
+    // Two records name the machine, because it was being moved. If only one of them lists it as unanswered,
+    // its heartbeats may have been answered since.
     name_by_second_record(machine, group);
     if (!entry.unanswered_since_ms) machine.unanswered_since_ms.reset();
   } else {
@@ -183,8 +183,8 @@
   machine.type = entry.type;
   machine.zone = entry.zone;
   machine.spot = entry.spot;
-  // Without an address it had not sent a heartbeat when the record was written, and nothing was launched
-  // there.
+  // A machine without an address had not sent a heartbeat when the record was written, so nothing was
+  // launched on it.
   machine.unreconciled = !machine.addr.empty();
   machine.recorded = machine.unreconciled && !machine.unanswered_since_ms;
   if (machine.unanswered_since_ms) machine.state = MachineState::kUnresponsive;
@@ -197,7 +197,7 @@
   groups_[group].members.insert(machine.name);
 }
 
-// The record by size stays. It is written once more before the other may go.
+// Keeps the machine in the record by size, which is written again before the other record may be deleted.
 void MachineLedger::name_by_second_record(Machine& machine, const std::string& group) {
   const std::string former = is_numbered(group) ? group : machine.record;
   if (!is_numbered(group)) set_record(machine, group);
--- a/src/bookkeeping/machine_ledger.cpp
+++ b/src/bookkeeping/machine_ledger.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machines in memory.
+/// Adding, removing and finding machines, and the log line of their state changes.
 #include "bookkeeping/machine_ledger.hpp"
 
 #include <spdlog/spdlog.h>
--- a/src/bookkeeping/machine_record.cpp
+++ b/src/bookkeeping/machine_record.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Records of machines as JSON.
+/// Encoding and decoding of machine records.
 #include "bookkeeping/machine_record.hpp"
 
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr char kMachinesField[] = "all";  // of each: name, address, type, zone, spot
-// By name: term of the leader that wrote it, time of day in ms.
+constexpr char kMachinesField[] = "all";  // array of [name, address, type, zone, spot]
+// Object by machine name: [term of the leader that wrote it, time of day in ms].
 constexpr char kUnansweredField[] = "unanswered";
 constexpr std::size_t kTextFields = 4;
 constexpr std::size_t kSpotField = 4;
 constexpr std::size_t kMachineFields = 5;
 
-using UnansweredSince = std::map<std::string, std::int64_t>;  // by machine: time of day, ms
+using UnansweredSince = std::map<std::string, std::int64_t>;  // time of day in ms, by machine name
 
 UnansweredSince decode_unanswered(const json::object& record, std::uint64_t trusted_since) {
   UnansweredSince result;
--- a/src/bookkeeping/machine_record.hpp
+++ b/src/bookkeeping/machine_record.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Durable records of machines: encoding and decoding, without any state of their own.
+/// Stateless encoding and decoding of the durable records of machines.
 ///
-/// Fields keep their names and order, as earlier versions read and rewrite the same records during a rolling
-/// upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks that.
+/// Fields must keep their names and order, because older versions read and rewrite the same records during a
+/// rolling upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks this.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,10 +15,10 @@
 
 namespace robinford::bookkeeping {
 
-/// What a record says of one machine.
+/// Entry of a record for one machine.
 struct MachineEntry {
   std::string name;
-  std::string addr;  ///< empty: it had not sent a heartbeat, and nothing was launched there
+  std::string addr;  ///< empty: it has sent no heartbeat, and nothing was launched on it
   std::string type;
   std::string zone;
   bool spot = false;
@@ -28,21 +28,21 @@
 
 struct MachineRecord {
   std::vector<MachineEntry> machines;
-  std::size_t malformed = 0;  ///< entries that could not be read and are left out
+  std::size_t malformed = 0;  ///< number of malformed entries, which are left out
 };
 
-/// Why nothing of a record can be read.
+/// Why a record as a whole cannot be decoded.
 enum class MachineRecordError : std::uint8_t {
   kNotAnObject,
   kNoMachines,
 };
 
-/// The record of these machines. `term`: of the leader that writes it, and vouches for what it says of
-/// unanswered machines.
+/// Encodes a record of these machines. `term` is the term of the leader that writes it. It is stored with
+/// each unanswered mark, so that a reader can decide whether to trust the mark.
 boost::json::object encode_machines(const std::vector<MachineEntry>& machines, std::uint64_t term);
 
-/// What leaders of terms before `trusted_since` wrote of unanswered machines is left out: one of them may
-/// have answered such a machine without writing so.
+/// Decodes a record. Unanswered marks from terms before `trusted_since` are ignored: one of those leaders may
+/// have answered such a machine without recording it.
 boost::system::result<MachineRecord, MachineRecordError> decode_machines(const boost::json::value& value,
                                                                          std::uint64_t trusted_since);
 
--- a/src/bookkeeping/quota.cpp
+++ b/src/bookkeeping/quota.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Charges, refunds and limits of teams.
+/// Charges, refunds and limit checks of teams.
 #include "bookkeeping/quota.hpp"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kShareMin = 1e-9;  // a share of zero must not divide
+constexpr double kShareMin = 1e-9;  // avoids a division by a share of zero
 
 }  // namespace
 
--- a/src/bookkeeping/quota.hpp
+++ b/src/bookkeeping/quota.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What each team's tasks use, or could use, of its limits.
+/// Accounts of what each team uses, or could use, of its limits.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 
 namespace robinford::bookkeeping {
 
-/// What a team uses.
+/// Resources that a team uses.
 struct Usage {
   double cpus = 0;
   double gpus = 0;
 };
 
-/// Running accounts by team, changed with each run, reservation and unknown task. Only the leader's count.
+/// Running accounts by team, updated with each run, reservation and unknown task. Only the leader's accounts
+/// are meaningful.
 ///
 /// Invariant: running() equals recount(), up to rounding; the invariant checker of the tests compares them.
 /// Section "Load" of docs/design.md. Amounts are in cpus and gpus.
@@ -31,37 +32,37 @@
     used_.clear();
     unreconciled_.clear();
   }
-  /// Another account that is asked before each placement and informed of each charge. May be null.
+  /// Sets a second check that is consulted before each placement and notified of each charge. May be null.
   void set_guard(LaunchGuard* guard) { guard_ = guard; }
-  /// The guard's other source of capacity promised it to the job.
+  /// Whether the guard has granted quota to the job.
   bool granted(protocol::JobId job) const { return guard_ != nullptr && guard_->granted(job); }
 
-  /// Tasks or reservations of the job were made.
+  /// Charges tasks or reservations of the job.
   void charge(const JobSpec& spec, std::uint32_t tasks);
-  /// Tasks or reservations of the job are gone.
+  /// Refunds tasks or reservations of the job.
   void refund(const JobSpec& spec, std::uint32_t tasks);
-  /// Charges the tasks that a machine shows and nobody wants. One of unknown size costs every team the whole
-  /// machine. What the machine was charged before must have been refunded.
+  /// Charges the unknown tasks of a machine. A task of an unknown job has an unknown size and is charged to
+  /// every team as the whole machine. Earlier charges for the machine must have been refunded.
   void charge_unknown_tasks(Machine& machine, JobLedger& jobs);
   void refund_unknown_tasks(Machine& machine);
-  /// What machines that have not shown themselves to this leader may hold of jobs that an earlier one placed.
+  /// Sets what unreconciled machines may hold of jobs that an earlier leader placed.
   void set_unreconciled(std::map<std::string, Usage> unreconciled) {
     unreconciled_ = std::move(unreconciled);
   }
 
-  /// What the team uses, or could use on machines that are not reconciled.
+  /// What the team uses, plus what it may use on machines that are not reconciled.
   Usage usage(const std::string& team) const;
-  /// Whether so many more tasks stay within the team's limit, and the guard permits them. `kept` cpus are
+  /// Whether `tasks` more tasks stay within the team's limit and the guard permits them. `kept` cpus are
   /// promised to other jobs of the team. False for an unknown team.
   bool allows(const JobSpec& spec, std::uint32_t tasks, double kept = 0) const;
-  /// Whether so many more tasks stay within what the team is guaranteed. False for an unknown team.
+  /// Whether `tasks` more tasks stay within the team's guarantee. False for an unknown team.
   bool within_guarantee(const JobSpec& spec, std::uint32_t tasks) const;
-  /// cpus up to the team's limit; none for an unknown team.
+  /// Cpus left up to the team's limit; 0 for an unknown team.
   double left(const std::string& team) const;
-  /// What the team uses for each unit of its share, for comparison between teams.
+  /// The team's usage divided by its share, for comparison between teams.
   double share_used(const std::string& team, double share) const;
 
-  /// What the running accounts have to be by the runs, reservations and unknown tasks.
+  /// Recomputes the running accounts from the runs, reservations and unknown tasks.
   std::map<std::string, Usage> recount(JobLedger& jobs, MachineLedger& machines) const;
   const std::map<std::string, Usage>& running() const { return used_; }
 
--- a/src/bookkeeping/resources.hpp
+++ b/src/bookkeeping/resources.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Amounts of a machine that tasks take and give back.
+/// Resource amounts of a machine.
 #pragma once
 
 #include <algorithm>
@@ -10,21 +10,21 @@
 
 namespace robinford::bookkeeping {
 
-/// Free amounts of one machine. They may fall below zero, since take() checks nothing. Comparisons allow for
-/// constants::kAmountRounding, as many amounts were added and taken.
+/// Free resources of a machine. They may become negative, since take() checks nothing. Comparisons tolerate
+/// constants::kAmountRounding, because rounding errors of repeated additions and subtractions accumulate.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
 
-  /// Whether so many more tasks of the job fit.
+  /// Whether `tasks` more tasks of the job fit.
   bool fits(const protocol::JobSpec& spec, std::uint32_t tasks = 1) const {
     return cpus + constants::kAmountRounding >= spec.cpus * tasks &&
            gpus + constants::kAmountRounding >= spec.gpus * tasks &&
            memory_gb + constants::kAmountRounding >= spec.memory_gb * tasks;
   }
 
-  /// How many tasks of the job fit, at most constants::kTasksPerJobMax.
+  /// Number of tasks of the job that fit, at most constants::kTasksPerJobMax.
   std::uint32_t tasks_of(const protocol::JobSpec& spec) const {
     double most = constants::kTasksPerJobMax;
     const auto limit = [&](double have, double need) {
@@ -36,14 +36,14 @@
     return static_cast<std::uint32_t>(most);
   }
 
-  /// Tasks of the job are placed. Whether they fit is not checked.
+  /// Subtracts what `tasks` tasks of the job need, without checking that they fit.
   void take(const protocol::JobSpec& spec, std::uint32_t tasks = 1) {
     cpus -= spec.cpus * tasks;
     gpus -= spec.gpus * tasks;
     memory_gb -= spec.memory_gb * tasks;
   }
 
-  /// Tasks of the job have left.
+  /// Adds back what `tasks` tasks of the job need.
   void give(const protocol::JobSpec& spec, std::uint32_t tasks = 1) {
     cpus += spec.cpus * tasks;
     gpus += spec.gpus * tasks;
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Budget, queues and pace of the calls to the state service.
+/// Budget, queues and pace of calls to the state service.
 #include "bookkeeping/state_client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -18,8 +18,8 @@
 
 constexpr int kMsPerSecond = 1000;
 
-// Requests that must be covered before a read from the queue is sent: itself, and one that is left for what
-// is to be written, since users wait for their submissions.
+// Requests that the budget must cover before a queued call is sent: the call itself, and one in reserve for
+// a write, since users wait for their submissions.
 constexpr double kRequestsForQueued = 2;
 
 }  // namespace
@@ -42,7 +42,7 @@
   writes_.set_rate(scaled(settings_.state_write_rps), scaled(settings_.state_write_rps));
 }
 
-// The limits may be lower than the settings say. A refused call is not simply repeated at the same pace.
+// The service's limits may be lower than the settings say, so a 429 reduces the pace of all further calls.
 void StateClient::record_status(int status) {
   if (status == state_status::kMalformed) ++rejected_;
   if (status != state_status::kThrottled) return;
@@ -51,7 +51,7 @@
   pace_changed_at_ = now_;
   const double slower = std::max(constants::kPaceMin, pace_ * constants::kPaceReductionFactor);
   if (slower == std::exchange(pace_, slower)) return;
-  spdlog::warn("the state service answers 429: going on at {:.0f}% of the usual pace", pace_ * 100);
+  spdlog::warn("the state service answers 429: calls continue at {:.0f}% of the usual rate", pace_ * 100);
   set_rates();
 }
 
@@ -84,7 +84,8 @@
 
 void StateClient::send_queued() {
   while (!normal_queue_.empty()) {
-    // Whoever asked has given up by now: a flood of polls must not spend the budget on answers for nobody.
+    // The caller has given up by now. Without this, a flood of polls would spend the budget on unused
+    // answers.
     if (now_ - normal_queue_.front().since > constants::kStateCallTimeoutS) {
       const auto answered = std::move(normal_queue_.front().answered);
       normal_queue_.pop_front();
@@ -120,8 +121,8 @@
   }
   auto& queue = urgency == Urgency::kFirst ? urgent_queue_ : normal_queue_;
   if (queue.size() >= constants::kStateQueueMax) {
-    // Over our own budget: the same as if the service had said so. Not at once, or a caller that asks again
-    // would do so for ever.
+    // This controller is over its own budget, which is reported like a 429 of the service. The callback is
+    // not called here, since a caller that retries in it would loop forever.
     refused_.push_back(std::move(answered));
     return;
   }
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The state service's client: keeps all controllers together below the service's limits, renewals first.
-/// Section "Limits of the state service" of docs/design.md.
+/// Client of the state service. It keeps all controllers together below the service's rate limits and gives
+/// lease renewals the highest priority. Section "Limits of the state service" of docs/design.md.
 #pragma once
 
 #include <cstdint>
@@ -16,57 +16,61 @@
 
 namespace robinford::bookkeeping {
 
-/// Sends calls to the state service, each as soon as the own share of its budget covers it.
+/// Sends calls to the state service, each as soon as this controller's share of the budget covers it.
 ///
-/// What it guarantees about an answer:
-///  - Each callback is called once, and never before the call that takes it has returned. Nothing is repeated
-///    by this class.
-///  - Lost or late: status 0 after the call's timeout. A call that changes something may have been, or may
-///  yet
-///    be, carried out; TxnWriter settles that. An answer after the timeout is dropped.
-///  - Refused by the service (429, 503): not carried out. A 429 also lowers the own pace for a time.
-///  - Refused here, since the queue is full or the call waited for longer than its caller does: status 429
-///    without ever being sent, at a later tick().
-/// Times are steady, in s.
+/// Guarantees:
+///  - Each callback is called exactly once, and not before the function that received it has returned. This
+///    class retries nothing.
+///  - An answer that is lost or late gives status 0 after the timeout of the call. A write may have been
+///    committed or may still be; TxnWriter resolves that. An answer after the timeout is dropped.
+///  - A call that the service refuses (429, 503) was not carried out. A 429 also reduces the pace of this
+///    controller for a time.
+///  - A call that is refused here, because the queue is full or the call has waited longer than its caller
+///    does, is never sent and gets status 429 at a later tick().
+/// Times are those of the steady clock, in s.
 class StateClient {
  public:
   StateClient(const protocol::Settings& settings, CallTable& calls);
 
-  /// A leader has the larger share of the budget; the other controllers divide the rest among them.
+  /// Sets the share of the budget: the leader has the larger part, and the other controllers divide the rest.
   void set_leading(bool leading);
-  /// Sends what has become affordable, and answers what is refused here.
+  /// Sends queued calls that the budget now covers, and answers the calls that were refused here.
   void tick(double now);
 
   enum class Urgency {
-    kLease,   ///< never waits, and may overdraw the budget: leadership depends on it
-    kFirst,   ///< before all others but kLease, since the service of jobs stands still meanwhile (a new
-              ///< leader)
-    kNormal,  ///< in the order of arrival; changes pass reads that wait
+    /// Never queued; may overdraw the budget, because leadership depends on it.
+    kLease,
+    /// Sent before all others except kLease. Used by a new leader, since no jobs are served until it is
+    /// ready.
+    kFirst,
+    /// Sent in order of arrival, except that writes may overtake queued reads.
+    kNormal,
   };
-  /// `writes`: keys that the call changes, which count against the budget of writes; `timeout_s` from when it
-  /// is sent.
+  /// Makes a call. `writes` is the number of keys that it changes, which counts against the write budget;
+  /// `timeout_s` starts when the call is sent.
   void call(Urgency urgency, const std::string& method, const std::string& target, std::string body,
             int writes, double timeout_s, ResultCallback answered);
   void read(const std::string& key, std::function<void(const StateRead&)> done,
             Urgency urgency = Urgency::kNormal);
-  /// A page of the keys with the prefix that come after `after` (empty: from the first). Lists are what a new
-  /// leader reads, and have urgency kFirst. Nothing: no whole answer came, and the page may be asked for
-  /// again.
+  /// Reads a page of the keys with the prefix that follow `after` (empty: from the first). Its urgency is
+  /// kFirst, since a new leader reads its ledger this way. `done` gets an empty optional if no complete
+  /// answer came; the call may then be repeated.
   void list(const std::string& prefix, const std::string& after,
             std::function<void(const std::optional<StatePage>&)> done);
-  /// Changes of keys with the prefix after the revision `after`, as soon as there are any, or none after
-  /// constants::kWatchWaitS. It never waits for budget.
+  /// Waits for changes of keys with the prefix after the revision `after`. `done` gets them as soon as there
+  /// are any, or none after constants::kWatchWaitS. A watch never waits for budget.
   void watch(const std::string& prefix, std::uint64_t after, std::function<void(const WatchResult&)> done);
 
-  /// Answers 400 and 429 of the service so far: neither is expected, as long as the settings tell its limits.
+  /// Number of 400 and 429 answers of the service. Neither is expected as long as the settings match its
+  /// limits.
   std::uint64_t rejected() const { return rejected_; }
   std::uint64_t throttled() const { return throttled_; }
-  /// Share of the own budget that is used since the service answered 429, up to 1.
+  /// Share of this controller's budget that is in use, up to 1. A 429 of the service reduces it.
   double pace() const { return pace_; }
 
-  /// An answer other than 503 came within constants::kStateReachableS.
+  /// Whether an answer other than 503 arrived within constants::kStateReachableS.
   bool reachable(double now) const;
-  /// Whether a call with so many writes would be sent at once.
+  /// Whether the budget covers a call with this many writes at once.
   bool writes_ready(int writes) const {
     return writes_.covers(writes) && requests_.covers(1) && urgent_queue_.empty();
   }
@@ -91,7 +95,7 @@
   TokenBucket writes_;
   std::deque<Queued> urgent_queue_;     // kFirst
   std::deque<Queued> normal_queue_;     // kNormal
-  std::deque<ResultCallback> refused_;  // answered at the next tick: never while the caller is still calling
+  std::deque<ResultCallback> refused_;  // answered at the next tick, never within the call itself
   double now_ = 0;
   double last_answer_ = -1e9;
   bool leading_ = false;
--- a/src/bookkeeping/state_replies.cpp
+++ b/src/bookkeeping/state_replies.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reading of the state service's answers.
+/// Parsing of the state service's answers.
 #include "bookkeeping/state_replies.hpp"
 
 #include <utility>
--- a/src/bookkeeping/state_replies.hpp
+++ b/src/bookkeeping/state_replies.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// What the state service answers to reads, lists and watches, as types.
+/// Typed answers of the state service to reads, lists and watches.
 ///
-/// A call of these kinds changes nothing, so it may be repeated whenever its answer is missing. An answer
-/// that is malformed counts as missing.
+/// These calls change nothing, so they may be retried whenever the answer is missing. A malformed answer
+/// counts as missing.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,45 +15,45 @@
 
 namespace robinford::bookkeeping {
 
-/// Statuses of the state service's answers.
+/// Status codes of the state service's answers.
 namespace state_status {
-inline constexpr int kNoAnswer = 0;  ///< lost or late: the call may have been, or may yet be, carried out
+inline constexpr int kNoAnswer = 0;  ///< lost or late: the call may have been carried out or may still be
 inline constexpr int kOk = 200;
 inline constexpr int kMalformed = 400;        ///< never carried out, however often it is repeated
-inline constexpr int kNotFound = 404;         ///< there is no such key
-inline constexpr int kConditionFailed = 409;  ///< of a transaction: nothing of it was carried out
-inline constexpr int kTooOld = 410;           ///< of a watch: the changes are not kept any more
-inline constexpr int kThrottled = 429;        ///< over the limits, not carried out
+inline constexpr int kNotFound = 404;         ///< the key does not exist
+inline constexpr int kConditionFailed = 409;  ///< a condition of a transaction failed; nothing was committed
+inline constexpr int kTooOld = 410;           ///< the changes since the revision of a watch were compacted
+inline constexpr int kThrottled = 429;        ///< over a rate limit, not carried out
 inline constexpr int kUnavailable = 503;      ///< not carried out
 }  // namespace state_status
 
-/// A key with its value, as a list shows it.
+/// A key and its value in the answer to a list call.
 struct StateItem {
   std::string key;
   std::uint64_t mod_revision = 0;
   boost::json::value value;
 };
 
-/// Part of the keys with some prefix, in ascending order.
+/// A page of the keys with a prefix, in ascending order.
 struct StatePage {
   std::vector<StateItem> items;
-  bool more = false;           ///< there are keys after the last of these
-  std::uint64_t revision = 0;  ///< of the service, when the page was made
+  bool more = false;           ///< whether further keys follow
+  std::uint64_t revision = 0;  ///< revision of the service at which the page was read
 };
 
 /// Answer to the read of one key.
 struct StateRead {
   enum class Found {
     kYes,
-    kNo,       ///< the service says that there is no such key
-    kUnknown,  ///< lost, late, refused or malformed: nothing follows about the key
+    kNo,       ///< the service says that the key does not exist
+    kUnknown,  ///< the answer was lost, late, refused or malformed
   };
   Found found = Found::kUnknown;
-  std::uint64_t mod_revision = 0;  ///< of the key, when found
+  std::uint64_t mod_revision = 0;  ///< of the key, if found
   boost::json::value value;
 };
 
-/// One change of a watched key.
+/// A change of a watched key.
 struct StateEvent {
   std::string key;
   bool deleted = false;
@@ -65,8 +65,8 @@
 struct WatchResult {
   enum class Outcome {
     kEvents,   ///< all changes up to `revision`, possibly none
-    kTooOld,   ///< the service does not have the changes any more: the keys are to be read again
-    kUnknown,  ///< lost, late, refused or malformed: watch again from the same revision
+    kTooOld,   ///< the changes were compacted; the keys must be read again
+    kUnknown,  ///< lost, late, refused or malformed; watch again from the same revision
   };
   Outcome outcome = Outcome::kUnknown;
   std::uint64_t revision = 0;
@@ -76,7 +76,7 @@
 };
 
 StateRead parse_read(const protocol::CallResult& result);
-/// Nothing: lost, late, refused or malformed. The page may be asked for again.
+/// Empty if the answer was lost, late, refused or malformed; the call may be repeated.
 std::optional<StatePage> parse_page(const protocol::CallResult& result);
 WatchResult parse_watch(const protocol::CallResult& result);
 
--- a/src/bookkeeping/store_keys.hpp
+++ b/src/bookkeeping/store_keys.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Keys of the state service: one line for each key or prefix that a controller reads or writes.
+/// Keys of the state service: one constant for each key or prefix that a controller reads or writes.
 ///
-/// All are written by compare-and-swap on the mod revision that the writer last saw (0: the key must not
-/// exist). "Guarded" means that the transaction also demands that kLeaderKey still has the mod revision of
-/// the writer's own election, so that a former leader changes nothing. Sections are those of docs/design.md.
+/// All are written by compare-and-swap on the mod revision that the writer last read (0: the key must not
+/// exist). "Guarded" means that the transaction also requires that kLeaderKey still has the mod revision of
+/// the writer's own election, so that a former leader cannot change anything. Sections are those of
+/// docs/design.md.
 #pragma once
 
 #include <string>
@@ -12,17 +13,17 @@
 
 namespace robinford::bookkeeping {
 
-/// The present leader: member, incarnation and term. Bound to a lease of the state service, which deletes it
-/// when the leader stops renewing. Written by a candidate, in one transaction with kTermKey, on condition
-/// that neither has changed since it read them. Section "Leadership".
+/// The current leader: member, incarnation and term. Attached to a lease of the state service, which deletes
+/// the key when the leader stops renewing. Written by a candidate in one transaction with kTermKey, on
+/// condition that neither key has changed since the candidate read it. Section "Leadership".
 inline constexpr char kLeaderKey[] = "lead";
 
-/// The highest term, which is also the fencing token, and what a later leader has to know about the terms
-/// before. Not bound to any lease, so the term never goes back. Written only with kLeaderKey.
+/// The highest term, which is also the fencing token, and what a later leader must know about earlier terms.
+/// Not attached to a lease, so the term never decreases. Written only with kLeaderKey.
 inline constexpr char kTermKey[] = "term";
 
-/// The cloud's catalog of machine types: the other controllers check submissions against it without calls to
-/// the cloud. Written, guarded, by the leader once in its term.
+/// The cloud's catalog of machine types, against which the other controllers check submissions without
+/// calling the cloud. Written, guarded, by the leader once per term.
 inline constexpr char kCatalogKey[] = "cat";
 
 /// One record for each job that is accepted and not over (job_record.hpp). Created by the controller that
@@ -32,21 +33,22 @@
 inline constexpr char kLiveJobPrefix[] = "j/";
 
 /// One record for each job that is over, with its final state. Created on condition that none exists, by the
-/// leader or by a controller that cancels; never changed or deleted, so that an ended job cannot come back.
+/// leader or by a controller that cancels the job. Never changed or deleted, so that a finished job cannot be
+/// admitted again.
 inline constexpr char kFinalJobPrefix[] = "f/";
 
-/// Machines that may exist, several to a record (machine_record.hpp). Written and deleted, guarded, by the
-/// leader only; nothing is launched on a machine before its record names it with its address. Sections "What
+/// Machines that may exist, several per record (machine_record.hpp). Written and deleted, guarded, only by
+/// the leader. Nothing is launched on a machine before its record names it with its address. Sections "What
 /// was added" and "Limits of the state service".
 inline constexpr char kMachinePrefix[] = "m/";
 
 /// The change log: one entry for each change to a job by a controller other than the leader, created in the
 /// same transaction as the change. Keys are unique by incarnation and sequence number. Deleted, guarded, by
-/// the leader after it has acted on the entry. Section "Cancellations".
+/// the leader after it has processed the entry. Section "Cancellations".
 inline constexpr char kChangeLogPrefix[] = "n/";
 
 /// One record for each member: the feature level and incarnation of its running process. Written by that
-/// process, until it has succeeded once. Section "Rolling upgrade".
+/// process, which retries until a write succeeds. Section "Rolling upgrade".
 inline constexpr char kPeerVersionPrefix[] = "v/";
 
 /// One record for each slice of a quota lease (quota/lease_record.hpp). Written and deleted, guarded, by the
@@ -59,7 +61,7 @@
 /// Key of a job's final record.
 inline std::string final_job_key(protocol::JobId id) { return kFinalJobPrefix + protocol::job_id_text(id); }
 
-/// Key of the machine record with that name, as chosen by the MachineLedger.
+/// Key of the machine record with this name, which MachineLedger assigns.
 inline std::string machine_record_key(const std::string& record) { return kMachinePrefix + record; }
 
 }  // namespace robinford::bookkeeping
--- a/src/bookkeeping/token_bucket.hpp
+++ b/src/bookkeeping/token_bucket.hpp
@@ -1,14 +1,15 @@
 /// @file
-/// A budget of calls by rate.
+/// Rate limiter.
 #pragma once
 
 #include <algorithm>
 
 namespace robinford::bookkeeping {
 
-/// Grants `rate` calls a second, and up to `burst` at once after a pause. Times are steady, in s.
+/// Token bucket with `rate` tokens per second and a capacity of `burst`. Times are those of the steady clock,
+/// in s.
 ///
-/// The level may fall below zero: what cannot wait takes its share anyway, and later calls make up for it.
+/// The level may become negative: calls that cannot wait overdraw it, and later calls wait until it recovers.
 class TokenBucket {
  public:
   /// Starts full.
@@ -20,14 +21,14 @@
     if (level_ > burst) level_ = burst;
   }
 
-  /// Adds what the time since the last call brings. The first call only sets the time.
+  /// Adds the tokens for the time since the last call. The first call only sets the time.
   void refill(double now) {
     if (last_refill_ > 0) level_ = std::min(burst_, level_ + (now - last_refill_) * rate_);
     last_refill_ = now;
   }
 
-  /// Whether `amount` may be taken now. A full bucket covers any amount: one above the burst would otherwise
-  /// wait for ever.
+  /// Whether `amount` may be taken now. A full bucket covers any amount, since an amount above the burst
+  /// would otherwise wait forever.
   bool covers(double amount) const { return level_ >= amount || level_ >= burst_ - kRounding; }
   void take(double amount) { level_ -= amount; }
 
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Units, their transactions, and what answers mean for them.
+/// Batching of units into transactions and handling of the answers.
 #include "bookkeeping/writer.hpp"
 
 #include <spdlog/spdlog.h>
@@ -18,10 +18,9 @@
 namespace {
 
 constexpr char kMarkField[] = "w";
-constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, beside its key and value
-constexpr std::size_t kKeysInOp = 2;   // the condition names the key, and the change
-constexpr std::size_t kBackgroundQueueDivisor =
-    4;  // of the queue, what only tidies up may fill one part in so many
+constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, apart from its key and value
+constexpr std::size_t kKeysInOp = 2;   // both the condition and the change contain the key
+constexpr std::size_t kBackgroundQueueDivisor = 4;  // background units may fill this fraction of the queue
 
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
@@ -77,7 +76,7 @@
   guard_lost_ = nullptr;
   ++generation_;
   paused_ = false;
-  // What a former leader still had to write is not its to write any more.
+  // A former leader must not commit its remaining writes.
   std::deque<UnitPtr> kept;
   std::vector<UnitPtr> dropped;
   for (auto& unit : queue_) (unit->guarded ? dropped.push_back(unit) : kept.push_back(unit));
@@ -128,18 +127,18 @@
   }
 }
 
-// The first unit always fits: should it be too large for the service, its answer says so.
+// The first unit always fits. If it is too large, the service rejects it.
 bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
   if (batch.units.empty()) return true;
   return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_limit() &&
          batch.bytes + unit.bytes <= constants::kTxnBytesMax;
 }
 
-// Takes the units of the next transaction out of the queue: all with a guard, or all without.
+// Removes the units of the next transaction from the queue: either all guarded or all unguarded.
 TxnWriter::Batch TxnWriter::take_batch() {
   Batch batch;
-  // Keys of the units that were taken, since a key may stand only once in a transaction, and of those passed
-  // over, so that later writes to them wait their turn.
+  // Keys of the units that were taken, since a transaction may contain a key only once, and of the units that
+  // were skipped, so that later writes to the same keys do not overtake them.
   std::set<std::string> blocked;
   const bool guarded = queue_.front()->guarded;
   for (auto place = queue_.begin(); place != queue_.end();) {
@@ -215,7 +214,7 @@
   const auto* body = value ? value->if_object() : nullptr;
   const auto answer = classify(result.status, body);
   if (answer == TxnAnswer::kCarriedOut) return finish(units, WriteOutcome::kDone, revision_of(*body));
-  // Leadership changed meanwhile; the next leader reads what became of this.
+  // Leadership has changed since the transaction was sent. The next leader reads its outcome.
   if (units.front()->guarded && generation != generation_) return finish(units, WriteOutcome::kLost, 0);
   switch (answer) {
     case TxnAnswer::kCarriedOut:
@@ -253,11 +252,12 @@
   requeue(again);
 }
 
-// A limit is lower than the settings say. Larger transactions are not tried again, and each unit of this one
-// is tried by itself: one that is refused even so was never going to be taken.
+// The service has a lower limit than the settings say. Later transactions are smaller, and each unit of this
+// one is sent alone. A unit that is rejected alone can never be accepted.
 void TxnWriter::on_malformed(const std::vector<UnitPtr>& units) {
   if (units.size() == 1) {
-    spdlog::error("the state service refuses a change of {}", units.front()->ops.front().key);
+    spdlog::error("the state service refuses a change of {} that was sent alone",
+                  units.front()->ops.front().key);
     return finish(units, WriteOutcome::kRefused, 0);
   }
   std::size_t ops = 0;
@@ -267,13 +267,14 @@
   }
   observed_ops_limit_ =
       std::clamp(ops / 2, constants::kTxnOpsMin, std::max(constants::kTxnOpsMin, ops_limit()));
-  spdlog::warn("the state service refuses a transaction of {} changes: {} at most from now on", ops,
+  spdlog::warn("the state service refuses a transaction of {} changes: later ones have {} at most", ops,
                ops_limit());
   requeue(units);
 }
 
-// The conditions of an unanswered transaction fail at its repeat: either it was carried out after all, or
-// somebody else wrote. The mark in the value (or the absence of a deleted key) tells which.
+// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either the first attempt
+// was committed, or another writer changed the key. The mark in the value, or the absence of a deleted key,
+// shows which.
 void TxnWriter::settle_by_reading(const UnitPtr& unit) {
   const WriteOp* probe = nullptr;
   for (const auto& op : unit->ops)
@@ -292,7 +293,7 @@
 }
 
 void TxnWriter::on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read) {
-  // Still open: the repeat fails again and leads back here.
+  // Still unresolved: the retry fails its conditions again and returns here.
   if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
   bool carried_out = deleting && read.found == StateRead::Found::kNo;
   if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Durable writes: units of conditional changes, several units to a transaction. Section "Standing still,
+/// Durable writes: units of conditional changes, batched into transactions. Section "Standing still,
 /// repeats" of docs/design.md.
 #pragma once
 
@@ -19,80 +19,84 @@
 
 namespace robinford::bookkeeping {
 
-/// A change of one key on condition of its mod revision, or the condition alone.
+/// A compare-and-swap of one key on its mod revision, or the comparison alone.
 struct WriteOp {
   std::string key;
   std::uint64_t expect = 0;  ///< mod revision that the key must have; 0: the key must not exist
-  std::optional<boost::json::object> value;  ///< nothing: delete the key
-  bool compare_only = false;                 ///< a condition, no change
+  std::optional<boost::json::object> value;  ///< empty: delete the key
+  bool compare_only = false;                 ///< checks the condition and changes nothing
 };
 
-/// What became of a unit.
+/// Outcome of a unit.
 enum class WriteOutcome {
-  kDone,      ///< carried out, at the given revision
-  kConflict,  ///< a condition did not hold and nothing was changed by this unit
-  kLost,  ///< the guard (leadership) is gone: whether it was carried out is open, a new leader will read it
-  kRefused,  ///< never sent, since the queue is full or it has too many changes; or the service refuses it
+  kDone,      ///< committed, at the given revision
+  kConflict,  ///< a condition did not hold, and this unit changed nothing
+  /// The guard (leadership) was lost. Whether the unit was committed is unknown; the next leader reads it.
+  kLost,
+  /// Never sent, because the queue is full or the unit has too many changes, or rejected by the service.
+  kRefused,
 };
 
-/// In order of urgency: users wait for their submissions, a launch may wait for its machine's record.
+/// In descending order of priority. Users wait for their submissions; a launch may wait for the record of its
+/// machine.
 enum class WritePriority : std::uint8_t { kUser, kFleet, kBackground };
 
 using WriteCallback = std::function<void(WriteOutcome, std::uint64_t revision)>;
 
-/// Carries out units of changes, each wholly or not at all, and reports one outcome for each.
+/// Commits units of changes, each atomically, and reports one outcome for each.
 ///
-/// The states of a unit, and what leads from one to the next:
+/// States and transitions of a unit:
 ///
 ///     queued    --sent in a transaction-->                  sent
 ///     sent      --200-->                                    kDone
-///     sent      --409, the guard failed-->                  kLost, and the guard's callback
+///     sent      --409, the guard failed-->                  kLost, and the guard's callback is called
 ///     sent      --409, another unit's key failed-->         queued
-///     sent      --409, a key of it failed-->                kConflict; settling, if an earlier try is open
+///     sent      --409, a key of it failed-->                kConflict; settling, if an earlier attempt is
+///                                                           unresolved
 ///     sent      --409, no key named-->                      kConflict
 ///     sent      --400, with others-->                       queued, to be sent alone
 ///     sent      --400, alone-->                             kRefused
-///     sent      --429, 503: not carried out-->              queued, after a pause
-///     sent      --lost or late: may be carried out-->       queued with an open try, after a pause
+///     sent      --429, 503: not committed-->                queued, after a delay
+///     sent      --lost or late: may be committed-->         queued with an unresolved attempt, after a delay
 ///     settling  --read: its mark, or its key is deleted-->  kDone
 ///     settling  --read: anything else-->                    kConflict
-///     settling  --no answer-->                              queued, after a pause
+///     settling  --no answer-->                              queued, after a delay
 ///     sent      --not 200, after the guard changed-->       kLost (units with a guard)
 ///     settling  --any answer, after the guard changed-->    kLost (units with a guard)
 ///     queued    --the guard is cleared-->                   kLost (units with a guard)
 ///
-/// A repeat does no harm, since the conditions of a unit that was carried out fail at the repeat; the
-/// settling read then tells whose change the key shows, by a random mark that each value carries. No two
-/// transactions on their way name the same key but the guard's, and units that share one are sent in their
-/// order of arrival within a class. Times are steady, in s.
+/// A retry is safe: if the unit was already committed, its conditions fail at the retry. The settling read
+/// then shows whose change the key holds, by a random mark that each written value carries. Apart from the
+/// guard's key, no two transactions in flight name the same key. Units that share a key are sent in the order
+/// of arrival within a priority. Times are those of the steady clock, in s.
 class TxnWriter {
  public:
   TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random);
 
-  /// From now on each unit submitted also demands that `key` still has this mod revision; it is the key of
-  /// the leader, so that a former leader changes nothing. `lost` is called when that condition fails.
+  /// Adds a condition to each unit submitted from now on: `key`, the leader key, still has this mod revision.
+  /// It keeps a former leader from changing anything. `lost` is called when the condition fails.
   void set_guard(std::string key, std::uint64_t mod_revision, std::function<void()> lost);
-  /// Ends the guard. Units that wait under it are lost.
+  /// Removes the guard. Queued units that were submitted under it end as kLost.
   void clear_guard();
 
-  /// Takes a unit. `written` is called once: before this returns if the unit is refused here, otherwise
-  /// later.
+  /// Queues a unit. `written` is called exactly once: before this returns if the unit is refused here,
+  /// otherwise later.
   void submit(std::vector<WriteOp> ops, WriteCallback written, WritePriority urgency = WritePriority::kUser);
-  /// Sends what budget and limits allow.
+  /// Sends queued units as far as the budget and the limits allow.
   void pump(double now);
-  /// Units that wait, and transactions on their way.
+  /// Number of queued units and transactions in flight.
   std::size_t waiting() const { return queue_.size() + in_flight_; }
-  /// A degraded leader writes nothing: units stay queued meanwhile.
+  /// Pauses or resumes sending. A degraded leader writes nothing; its units stay queued.
   void set_paused(bool paused) { paused_ = paused; }
 
  private:
   struct Unit {
     std::vector<WriteOp> ops;
     WriteCallback written;
-    std::string mark;                 // stands in each value put, so that a read tells whose write it is
-    bool unresolved_attempt = false;  // an earlier try was not answered, and may have been carried out
+    std::string mark;                 // stored in each written value, so that a read shows who wrote it
+    bool unresolved_attempt = false;  // an earlier attempt was not answered, and may have been committed
     bool guarded = false;
-    bool alone = false;  // was part of a transaction that was refused as malformed
+    bool alone = false;  // sent alone, since its transaction was rejected as malformed
     WritePriority urgency = WritePriority::kUser;
     std::size_t bytes = 0;
   };
@@ -103,7 +107,7 @@
     std::size_t ops = 0;
     std::size_t bytes = 0;
   };
-  // What the answer to a transaction says of it.
+  // What the answer to a transaction says about its outcome.
   enum class TxnAnswer { kCarriedOut, kConditionFailed, kMalformed, kNotCarriedOut, kUnresolved };
 
   static TxnAnswer classify(int status, const boost::json::object* body);
@@ -121,22 +125,23 @@
   void on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read);
   void requeue(const std::vector<UnitPtr>& units);
   void requeue_after_pause(const std::vector<UnitPtr>& units);
-  // Changes in a transaction.
+  // Maximum number of changes in a transaction.
   std::size_t ops_limit() const;
 
   const protocol::Settings& settings_;
   StateClient& state_;
   std::mt19937_64& random_;
-  std::deque<UnitPtr> queue_;        // by class, then by arrival; what is repeated goes first
-  std::set<std::string> busy_keys_;  // of transactions on their way
+  std::deque<UnitPtr> queue_;        // by priority, then by arrival; retried units come first
+  std::set<std::string> busy_keys_;  // keys of the transactions in flight
   std::size_t in_flight_ = 0;        // transactions
   double now_ = 0;
   double not_before_ = 0;
   bool paused_ = false;
-  std::size_t observed_ops_limit_ = std::numeric_limits<std::size_t>::max();  // by what was refused
-  std::string guard_key_;                                                     // empty: no guard
+  std::size_t observed_ops_limit_ =
+      std::numeric_limits<std::size_t>::max();  // lowered when a transaction is rejected
+  std::string guard_key_;                       // empty: no guard is set
   std::uint64_t guard_mod_revision_ = 0;
-  std::uint64_t generation_ = 0;  // of the guard
+  std::uint64_t generation_ = 0;  // incremented when the guard changes
   std::function<void()> guard_lost_;
 };
 
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Every number that the service is built on, with its unit and the reason for it: one file for each part of
-/// the program below src/constants/, and this one for all of them. Site values (intervals, limits, prices)
-/// come from the settings, never from here. A name that ends in S is a time in seconds, one in Ms in
-/// milliseconds.
+/// The design constants of the service, with their units and reasons: one file below src/constants/ for each
+/// part of the program, and this file to include all of them. Values that depend on the site (intervals,
+/// limits, prices) come from the settings. A name that ends in S is a time in seconds, and one that ends in
+/// Ms a time in milliseconds.
 #pragma once
 
 #include "constants/bookkeeping.hpp"
--- a/src/constants/common.hpp
+++ b/src/constants/common.hpp
@@ -34,7 +34,7 @@
 inline constexpr double kPaceReductionIntervalS = 1.0;
 /// Lower bound on the share of the budget that stays in use, however many 429 answers arrive.
 inline constexpr double kPaceMin = 0.25;
-/// Time without a change of pace before the budget is raised by one step.
+/// Time after a 429 or an earlier step of recovery before the budget is raised by one step.
 inline constexpr double kPaceRecoveryIntervalS = 10;
 /// Share of the full budget by which each recovery step raises it.
 inline constexpr double kPaceRecoveryStep = 0.05;
--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -10,7 +10,7 @@
 /// @name Fleet
 /// @{
 
-/// Time between two reviews of the fleet.
+/// Not used by any code: the fleet is reviewed every kFleetReviewIntervalS.
 inline constexpr double kFleetEveryS = 1.0;
 /// Time between two reads of the catalog, since spot prices change.
 inline constexpr double kCatalogReadIntervalS = 60.0;
--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -22,7 +22,8 @@
 inline constexpr double kLeaseRenewalsPerTtl = 4;
 /// Retry delay after a failed read of the lease records.
 inline constexpr double kLeaseLoadRetryS = 0.5;
-/// Delay before a reduced lease is written, during which its record may show more than is leased.
+/// Delay before a reduced lease is written, during which its record may show more than is leased. Also
+/// the delay before a failed write is retried.
 inline constexpr double kLazyRecordWriteS = 5.0;
 /// Bytes of a part in a record apart from its team's name: three numbers, brackets and commas.
 inline constexpr std::size_t kLeasePartOverheadBytes = 64;
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -135,8 +135,8 @@
 inline constexpr double kBackoffMaxS = 60.0;
 /// Machines on which a job must have failed for the failure to be attributed to the job.
 inline constexpr int kJobSuspectMachines = 3;
-/// Different jobs that must have failed on a machine for it to be cordoned. More failures than this in a
-/// row suffice if the job runs elsewhere.
+/// Different jobs that must have failed on a machine since its last success for it to be cordoned. More
+/// failures than this in a row suffice if the job runs elsewhere.
 inline constexpr int kMachineSuspectErrors = 2;
 /// Time for which a job is not placed on a machine where it failed.
 inline constexpr double kAvoidMachineS = 120.0;
@@ -162,7 +162,8 @@
 /// Share of an array's nominal rate that is attainable: image fetches, stops and changes of task take
 /// time.
 inline constexpr double kAttainableRateShare = 0.85;
-/// Time between two assignments of arrays to urgency tiers.
+/// Time between two assignments of arrays to urgency tiers, which include the computation of inherited
+/// priorities and due times.
 inline constexpr double kArrayTierIntervalS = 1.0;
 /// Share of a run time counted for the last tasks of an array: they overlap with the first tasks of other
 /// jobs.
@@ -181,8 +182,8 @@
 /// Maximum number of tasks of a gang that fit a machine for the gang to count as filling it. Machines are
 /// kept ready for such gangs.
 inline constexpr std::uint32_t kMachineFillingGangTasksMax = 3;
-/// Waiting time after which a gang claims machines, which then accept no other work, so that smaller jobs
-/// do not starve it.
+/// Waiting time after which a gang is placed ahead of the fair-share order and claims machines, which
+/// then accept no other work, so that smaller jobs do not starve it.
 inline constexpr double kGangClaimAfterS = 40;
 /// Gangs that may claim machines in one placement round.
 inline constexpr int kGangClaimsPerRoundMax = 8;
