--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -45,19 +45,21 @@
 bool Election::valid() const { return role_ == Role::kLeading && context_.now.steady < valid_until_; }
 
 bool Election::owns_fencing_token() const {
-  return leads(role_) && context_.now.steady < last_renewed_ + c::kDegradedBoundS * (1 - c::kClockDrift);
+  return leads(role_) &&
+         context_.now.steady < last_renewal_sent_at_ + c::kDegradedBoundS * (1 - c::kClockDrift);
 }
 
-bool Election::answers() const {
+bool Election::may_answer_heartbeats() const {
   const double now = context_.now.steady;
   const auto& cancellations = context_.cancellations;
   if (!owns_fencing_token()) return false;
   // Where leases and cancellations are too close together, nobody announces any before this bound has passed.
-  if (cancellations.strict()) return now < last_renewed_ + cancellations.answer_s() * (1 - c::kClockDrift);
+  if (cancellations.strict())
+    return now < last_renewal_sent_at_ + cancellations.answer_s() * (1 - c::kClockDrift);
   return now < cancellations.known_up_to(now) + cancellations.answer_s();
 }
 
-bool Election::caught_up() const {
+bool Election::caught_up_on_cancellations() const {
   const auto& cancellations = context_.cancellations;
   const double known = cancellations.read_up_to();
   if (known < leading_since_) return false;
@@ -89,7 +91,7 @@
 }
 
 void Election::retry_in(double pause_s) {
-  next_try_ = context_.now.steady + pause_s;
+  next_attempt_at_ = context_.now.steady + pause_s;
   become(Role::kDiscovering);
 }
 
@@ -102,7 +104,7 @@
   retry_in(0);
 }
 
-void Election::guard_lost() { step_down("the leader key was changed"); }
+void Election::on_write_conflict() { step_down("the leader key was changed"); }
 
 void Election::higher_term_seen(std::uint64_t term) {
   if (term <= term_) return;
@@ -114,7 +116,7 @@
   if (!leads(role_)) return;
   revoke_lease(lease_);
   step_down("termination requested");
-  next_try_ = context_.now.steady + 1e9;  // an ending process does not campaign
+  next_attempt_at_ = context_.now.steady + 1e9;  // an ending process does not campaign
 }
 
 void Election::on_status(const protocol::PeerMessage& status) {
@@ -127,7 +129,7 @@
   const double now = context_.now.steady;
   switch (role_) {
     case Role::kDiscovering:
-      if (!call_in_flight_ && now >= next_try_) read_leader_key();
+      if (!call_in_flight_ && now >= next_attempt_at_) read_leader_key();
       break;
     case Role::kFollowing:
     case Role::kCampaigning:
@@ -138,7 +140,7 @@
     case Role::kDegraded:
       if (!owns_fencing_token())
         step_down("the degraded leader's bound is reached");
-      else if (now >= next_try_)
+      else if (now >= next_attempt_at_)
         renew_lease();
       break;
   }
@@ -148,7 +150,7 @@
 
 void Election::read_leader_key() {
   call_in_flight_ = true;
-  next_try_ = context_.now.steady + c::kCampaignRetryS;
+  next_attempt_at_ = context_.now.steady + c::kCampaignRetryS;
   context_.state.read(
       kLeaderKey,
       [this, role_changes = role_changes_](const StateRead& read) {
@@ -226,7 +228,7 @@
         if (role_changes != role_changes_) return;
         if (read.found == StateRead::Found::kUnknown) return retry_in(c::kCampaignRetryS);
         const TermRecord last = TermRecord::decode(read.value);
-        former_leaders_.set_last(last);
+        former_leaders_.set_predecessor(last);
         campaign.term_mod_revision = read.mod_revision;
         campaign.term = last.term + 1;
         write_leader_key(campaign);
@@ -239,7 +241,7 @@
   term.member = context_.settings.member;
   term.incarnation = context_.incarnation;
   term.term = campaign.term;
-  term.records_since = former_leaders_.records_since();
+  term.unanswered_recorded_since = former_leaders_.unanswered_recorded_since();
   term.former_stopped_wall_ms = former_leaders_.stopped_wall_ms();
   term.answer_ms = static_cast<std::int64_t>(std::ceil(context_.cancellations.answer_s() * 1000));
   const LeaderRecord leader{term.member, term.incarnation, term.term};
@@ -289,9 +291,9 @@
   term_ = campaign.term;
   mod_revision_ = key_mod_revision;
   leader_ = context_.settings.member;
-  last_renewed_ = campaign.lease_sent_at;
+  last_renewal_sent_at_ = campaign.lease_sent_at;
   valid_until_ = lease_valid_until();
-  next_try_ = campaign.lease_sent_at + c::kRenewEveryS;
+  next_attempt_at_ = campaign.lease_sent_at + c::kRenewEveryS;
   former_leaders_.on_term_begun();
   become(Role::kLeading);
 }
@@ -299,12 +301,12 @@
 // ---------------------------------------------------------------- the lease
 
 double Election::lease_valid_until() const {
-  return last_renewed_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
+  return last_renewal_sent_at_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
 }
 
 void Election::renew_lease() {
   const double sent_at = context_.now.steady;
-  next_try_ = sent_at + c::kRenewEveryS;
+  next_attempt_at_ = sent_at + c::kRenewEveryS;
   const std::string target = std::string(n::kPathLeases) + "/" + std::to_string(lease_) + n::kPathRenew;
   context_.state.call(StateClient::Urgency::kLease, "POST", target, "", 0, c::kRenewTimeoutS,
                       [this, lease = lease_, sent_at](const CallResult& result) {
@@ -315,7 +317,7 @@
 }
 
 void Election::on_renewed(double sent_at) {
-  last_renewed_ = std::max(last_renewed_, sent_at);
+  last_renewal_sent_at_ = std::max(last_renewal_sent_at_, sent_at);
   context_.cancellations.renewed(sent_at);
   valid_until_ = lease_valid_until();
   if (role_ == Role::kDegraded && context_.now.steady < valid_until_) become(Role::kLeading);
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -52,7 +52,7 @@
   /// A worker or another controller has seen this term.
   void higher_term_seen(std::uint64_t term);
   /// A transaction found the leader key changed.
-  void guard_lost();
+  void on_write_conflict();
   /// Hands leadership over at a clean end of the process.
   void resign();
 
@@ -65,7 +65,7 @@
   /// The member that leads, as far as is known; empty if unknown.
   const std::string& leader() const { return leader_; }
   /// Steady time at which the last renewal that was answered was sent.
-  double last_renewed() const { return last_renewed_; }
+  double last_renewal_sent_at() const { return last_renewal_sent_at_; }
 
   /// May place, launch and write.
   bool valid() const;
@@ -73,17 +73,17 @@
   bool owns_fencing_token() const;
   /// May answer heartbeats with the fencing token, which renews leases: only while every cancellation that
   /// any user was told of is known here, or was told so lately that the leases renewed now end in time.
-  bool answers() const;
+  bool may_answer_heartbeats() const;
   /// The cancellations announced while this controller could not lead are known, so that work may start.
   /// Guards against the start of a job that was cancelled during an outage and whose change-log entry is not
   /// read yet.
-  bool caught_up() const;
+  bool caught_up_on_cancellations() const;
   /// Whether a user may be told now that the job is cancelled: all its tasks then end in time, whichever
   /// controller answers heartbeats.
   bool may_announce_cancellation(protocol::JobId id) const;
 
   /// All leaders from this term on have put on record which machines they do not answer.
-  std::uint64_t records_since() const { return former_leaders_.records_since(); }
+  std::uint64_t unanswered_recorded_since() const { return former_leaders_.unanswered_recorded_since(); }
   /// Steady time after which no former leader answers any heartbeat.
   double former_leaders_stopped_at() const { return former_leaders_.stopped_at(); }
 
@@ -126,14 +126,14 @@
   Role role_ = Role::kDiscovering;
   std::uint64_t role_changes_ = 0;  ///< so that answers to calls of an earlier role are known as such
   bool call_in_flight_ = false;     ///< of the present role
-  double next_try_ = 0;             ///< steady
+  double next_attempt_at_ = 0;      ///< steady
   std::string leader_;
   std::uint64_t term_ = 0;
   std::uint64_t mod_revision_ = 0;
   std::uint64_t lease_ = 0;
-  double valid_until_ = -1e9;    ///< steady
-  double last_renewed_ = -1e9;   ///< steady
-  double leading_since_ = -1e9;  ///< steady, without a break
+  double valid_until_ = -1e9;           ///< steady
+  double last_renewal_sent_at_ = -1e9;  ///< steady
+  double leading_since_ = -1e9;         ///< steady, without a break
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -21,7 +21,7 @@
   explicit FormerLeaders(const ControllerContext& context) : context_(context) {}
 
   /// The term record that this controller is about to replace.
-  void set_last(const TermRecord& last);
+  void set_predecessor(const TermRecord& last);
   /// What the new term record says of all leaders before it: wall time, ms.
   std::int64_t stopped_wall_ms() const;
   /// The own term began.
@@ -32,21 +32,21 @@
   /// Steady time after which no former leader answers any heartbeat.
   double stopped_at() const;
   /// All leaders from this term on have put on record which machines they do not answer.
-  std::uint64_t records_since() const { return records_since_; }
+  std::uint64_t unanswered_recorded_since() const { return unanswered_recorded_since_; }
 
  private:
-  bool last_was_this_member() const;
-  double started_wall_ms(std::uint64_t incarnation) const;
-  void stopped_early(const char* reason);
+  bool predecessor_is_this_member() const;
+  double process_start_wall_ms(std::uint64_t incarnation) const;
+  void record_early_stop(const char* reason);
 
   const ControllerContext& context_;
-  std::string last_member_;
-  std::uint64_t last_incarnation_ = 0;
-  double last_answer_s_ = 0;              ///< how long the last leader may answer
-  std::int64_t before_last_wall_ms_ = 0;  ///< when all leaders before the last one have stopped
-  std::uint64_t records_since_ = 0;
-  double last_stopped_at_ = -1e9;         ///< steady
-  double before_last_stopped_at_ = -1e9;  ///< steady
+  std::string predecessor_;
+  std::uint64_t predecessor_incarnation_ = 0;
+  double predecessor_answer_bound_s_ = 0;     ///< how long the last leader may answer
+  std::int64_t earlier_stopped_wall_ms_ = 0;  ///< when all leaders before the last one have stopped
+  std::uint64_t unanswered_recorded_since_ = 0;
+  double predecessor_stopped_at_ = -1e9;  ///< steady
+  double earlier_stopped_at_ = -1e9;      ///< steady
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -28,7 +28,7 @@
   std::uint64_t incarnation = 0;  ///< of its process
   std::uint64_t term = 0;         ///< that it led in
   /// First term whose leader and all later ones put on record which machines they do not answer; 0: unknown.
-  std::uint64_t records_since = 0;
+  std::uint64_t unanswered_recorded_since = 0;
   /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was none.
   std::int64_t former_stopped_wall_ms = 0;
   /// How long this leader may answer heartbeats once another one is elected; nothing in records of versions
--- a/src/coordination/election/peer_versions.cpp
+++ b/src/coordination/election/peer_versions.cpp
@@ -24,29 +24,29 @@
 
 PeerVersions::PeerVersions(ControllerContext& context) : context_(context) {
   for (const auto& peer : context_.settings.peers) members_[peer.member];
-  complete_ = members_.empty();
+  upgrade_complete_ = members_.empty();
 }
 
 void PeerVersions::tick() {
-  if (call_in_flight_ || context_.now.steady < next_look_) return;
-  if (registered_ && complete_ && all_present_are_registered()) return;
-  next_look_ = context_.now.steady + c::kVersionsEveryS;
+  if (call_in_flight_ || context_.now.steady < next_check_) return;
+  if (registered_ && upgrade_complete_ && all_latest_are_registered()) return;
+  next_check_ = context_.now.steady + c::kVersionsEveryS;
   if (!registered_) return register_self();
   read_registry();
 }
 
 void PeerVersions::observe(const std::string& member, std::uint64_t incarnation) {
   const auto found = members_.find(member);
-  if (found == members_.end() || found->second.present == incarnation) return;
-  found->second.present = incarnation;
-  next_look_ = std::min(next_look_, context_.now.steady);
+  if (found == members_.end() || found->second.latest_incarnation == incarnation) return;
+  found->second.latest_incarnation = incarnation;
+  next_check_ = std::min(next_check_, context_.now.steady);
 }
 
 bool PeerVersions::understands_dependencies(const std::string& member) const {
   if (member == context_.settings.member) return true;
   const auto found = members_.find(member);
-  return found != members_.end() && found->second.registered != 0 &&
-         found->second.present == found->second.registered;
+  return found != members_.end() && found->second.registered_incarnation != 0 &&
+         found->second.latest_incarnation == found->second.registered_incarnation;
 }
 
 bool PeerVersions::serves_quota_leases(const std::string& member) const {
@@ -54,9 +54,10 @@
   return found != members_.end() && found->second.quota_leases && understands_dependencies(member);
 }
 
-bool PeerVersions::all_present_are_registered() const {
+bool PeerVersions::all_latest_are_registered() const {
   return std::all_of(members_.begin(), members_.end(), [](const auto& entry) {
-    return entry.second.present == 0 || entry.second.present == entry.second.registered;
+    return entry.second.latest_incarnation == 0 ||
+           entry.second.latest_incarnation == entry.second.registered_incarnation;
   });
 }
 
@@ -79,7 +80,7 @@
                          [this](WriteOutcome outcome, std::uint64_t) {
                            call_in_flight_ = false;
                            registered_ = outcome == WriteOutcome::kDone;
-                           next_look_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
+                           next_check_ = context_.now.steady + (registered_ ? 0 : c::kVersionsEveryS);
                          });
 }
 
@@ -91,16 +92,16 @@
     for (const auto& item : page->items)
       apply_registration(item.key.substr(std::string(kPrefix).size()), item.value);
     const bool all = std::all_of(members_.begin(), members_.end(),
-                                 [](const auto& entry) { return entry.second.registered != 0; });
-    if (all && !complete_) spdlog::info("rolling upgrade: every controller knows dependencies");
-    complete_ = complete_ || all;
+                                 [](const auto& entry) { return entry.second.registered_incarnation != 0; });
+    if (all && !upgrade_complete_) spdlog::info("rolling upgrade: every controller knows dependencies");
+    upgrade_complete_ = upgrade_complete_ || all;
   });
 }
 
 void PeerVersions::apply_registration(const std::string& member, const json::value& record) {
   const auto found = members_.find(member);
   if (found == members_.end() || protocol::count_field(record, kLevel) < c::kFeatureLevel) return;
-  found->second.registered = protocol::count_field(record, kIncarnation);
+  found->second.registered_incarnation = protocol::count_field(record, kIncarnation);
   const auto* offered = record.get_object().if_contains(kQuotaLeases);
   found->second.quota_leases = offered != nullptr && offered->is_bool() && offered->get_bool();
 }
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -29,27 +29,27 @@
   /// This process hands out quota leases when it leads. Has to be called before the first tick.
   void offer_quota_leases() { offers_quota_leases_ = true; }
   /// Every controller has registered once: the rolling upgrade is over, and stays so for this process.
-  bool upgrade_complete() const { return complete_; }
+  bool upgrade_complete() const { return upgrade_complete_; }
 
  private:
   struct Member {
-    std::uint64_t registered = 0;  ///< incarnation of the process that registered last
-    std::uint64_t present = 0;     ///< incarnation seen last; 0: none yet
-    bool quota_leases = false;     ///< of the registered process
+    std::uint64_t registered_incarnation = 0;  ///< incarnation of the process that registered last
+    std::uint64_t latest_incarnation = 0;      ///< incarnation seen last; 0: none yet
+    bool quota_leases = false;                 ///< of the registered process
   };
   void register_self();
   void write_registration(std::uint64_t mod_revision);
   void read_registry();
   void apply_registration(const std::string& member, const boost::json::value& record);
-  bool all_present_are_registered() const;
+  bool all_latest_are_registered() const;
 
   ControllerContext& context_;
   std::map<std::string, Member> members_;  ///< all others that the settings name
   bool offers_quota_leases_ = false;
   bool registered_ = false;
   bool call_in_flight_ = false;
-  bool complete_ = false;
-  double next_look_ = 0;  ///< steady
+  bool upgrade_complete_ = false;
+  double next_check_ = 0;  ///< steady
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/boot_times.cpp
+++ b/src/coordination/fleet/boot_times.cpp
@@ -14,7 +14,7 @@
   if (recent.size() > c::kBootsKept) recent.pop_front();
 }
 
-double BootTimes::late_after(const protocol::MachineType& type) const {
+double BootTimes::late_after_s(const protocol::MachineType& type) const {
   const auto found = recent_.find(type.name);
   if (found == recent_.end() || found->second.size() < c::kBootsEnough) return c::kBootUsual * type.boot_s;
   std::vector<double> sorted(found->second.begin(), found->second.end());
--- a/src/coordination/fleet/boot_times.hpp
+++ b/src/coordination/fleet/boot_times.hpp
@@ -17,7 +17,7 @@
   void record(const std::string& type, double seconds);
   /// Seconds after its provisioning request from which a machine is not counted on any more and a replacement
   /// is provisioned.
-  double late_after(const protocol::MachineType& type) const;
+  double late_after_s(const protocol::MachineType& type) const;
 
  private:
   std::map<std::string, std::deque<double>> recent_;  ///< by type, oldest first
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // The cloud gives the same status for an outage and for a pool without machines; only the text differs.
-bool says_no_capacity(const CallResult& result) {
+bool is_out_of_capacity(const CallResult& result) {
   return result.status == 503 && result.body.find("capacity") != std::string::npos;
 }
 
@@ -184,13 +184,13 @@
   if (result.status == 200) {
     const auto names = protocol::parse_provisioned(result.body);
     add_machines(pool, names.value_or(std::vector<std::string>{}));
-    if (names && static_cast<int>(names->size()) < request->count) refuse(pool);
-  } else if (says_no_capacity(result)) {
+    if (names && static_cast<int>(names->size()) < request->count) mark_refused(pool);
+  } else if (is_out_of_capacity(result)) {
     spdlog::info("no capacity for {}", to_text(pool));
-    refuse(pool);
+    mark_refused(pool);
   } else if (result.status == 400) {
     spdlog::error("the cloud rejects a provisioning request for {} as malformed", pool.type);
-    refuse(pool);
+    mark_refused(pool);
   } else {
     // It may have been carried out: repeated under the same name, it provisions nothing twice.
     request->next_try_s = context_.now.steady + c::kProvisionRetryS;
@@ -213,7 +213,7 @@
   }
 }
 
-void CloudClient::refuse(const CapacityPool& pool) {
+void CloudClient::mark_refused(const CapacityPool& pool) {
   refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
 }
 
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -70,7 +70,7 @@
   void send(ProvisioningRequest& request);
   void on_provisioning_answer(const std::string& name, const protocol::CallResult& result);
   void add_machines(const CapacityPool& pool, const std::vector<std::string>& names);
-  void refuse(const CapacityPool& pool);
+  void mark_refused(const CapacityPool& pool);
 
   ControllerContext& context_;
   const Election& election_;
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -51,7 +51,7 @@
   scale_in_.drain_surplus(scale_out_.array_cores_needed());
   scale_in_.mark_for_return();
   cloud_.return_machines(ReturnScope::kAll);
-  scale_in_.forget_missing();
+  scale_in_.remove_stale_machines();
 }
 
 // Several requests at once for a large need, and none while one for the same pool is unanswered.
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -123,7 +123,7 @@
 }
 
 // What no list, heartbeat or record has shown for long does not exist.
-bool ScaleIn::is_missing(const Machine& machine) const {
+bool ScaleIn::is_stale(const Machine& machine) const {
   const double now = context_.now.steady;
   if (machine.state == MachineState::kGone) return now - machine.known_at > c::kGoneKeptS;
   return machine.state == MachineState::kBooting && machine.provisioned_at == 0 && !machine.unreconciled &&
@@ -131,10 +131,10 @@
              c::kForgetListLags * context_.settings.list_lag_s;
 }
 
-void ScaleIn::forget_missing() {
+void ScaleIn::remove_stale_machines() {
   std::vector<std::string> missing;
   for (const auto& [name, machine] : context_.machines.all())
-    if (is_missing(machine)) missing.push_back(name);
+    if (is_stale(machine)) missing.push_back(name);
   for (const auto& name : missing) context_.machines.erase(name);
 }
 
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -20,7 +20,7 @@
   /// Marks machines that failed, are lost or are idle for longer than pays.
   void mark_for_return();
   /// Removes machines from the ledger that nothing has shown for long.
-  void forget_missing();
+  void remove_stale_machines();
 
  private:
   /// What one pass over the fleet shows about all of it.
@@ -33,7 +33,7 @@
   FleetView view_fleet() const;
   const char* return_reason(const bookkeeping::Machine& machine, const FleetView& view) const;
   double idle_limit_s(const bookkeeping::Machine& machine, const FleetView& view) const;
-  bool is_missing(const bookkeeping::Machine& machine) const;
+  bool is_stale(const bookkeeping::Machine& machine) const;
 
   ControllerContext& context_;
   const Scheduler& scheduler_;
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -55,8 +55,8 @@
       "fleet: {} gangs wait and claim {:.0f} cores, arrays have {:.0f} and need {:.0f} (due times {:.0f}, "
       "arrivals {:.0f}), "
       "backlog {:.0f} core seconds, {} spare machines for gangs",
-      scheduler_.waiting_gangs().size(), gang_claim_, array_capacity_, needed_cores_, cores_for_due_times(),
-      scheduler_.array_load(shortest_boot_s(context_)), backlog_core_s(),
+      scheduler_.waiting_gangs().size(), gang_claimed_cores_, array_capacity_cores_, needed_cores_,
+      cores_for_due_times(), scheduler_.array_load(shortest_boot_s(context_)), backlog_core_s(),
       spare_gang_machines(context_, scheduler_));
 }
 
@@ -64,26 +64,27 @@
 
 void ScaleOut::count_capacity() {
   machines_by_zone_.clear();
-  array_capacity_ = 0;
-  gang_claim_ = 0;
+  array_capacity_cores_ = 0;
+  gang_claimed_cores_ = 0;
   for (const auto& [name, machine] : context_.machines.all()) {
     if (machine.state != MachineState::kGone) ++machines_by_zone_[machine.zone];
-    if (is_usable(machine)) array_capacity_ += array_cores(machine);
+    if (is_usable(machine)) array_capacity_cores_ += array_cores(machine);
   }
   for (const auto& request : cloud_.requests()) {
     const auto type = context_.types.find(request.pool.type);
-    if (type != context_.types.end()) array_capacity_ += type->second.cpus * request.count;
+    if (type != context_.types.end()) array_capacity_cores_ += type->second.cpus * request.count;
   }
 }
 
 void ScaleOut::update_needed_cores() {
   const double now = context_.now.steady;
   const double needed = std::max(cores_for_due_times(), scheduler_.array_load(shortest_boot_s(context_)));
-  const double kept_share = needed_at_ > 0 ? std::exp(-(now - needed_at_) / c::kNeedFallS) : 0;
+  const double kept_share =
+      needed_updated_at_ > 0 ? std::exp(-(now - needed_updated_at_) / c::kNeedFallS) : 0;
   needed_cores_ = std::max(needed, needed + (needed_cores_ - needed) * kept_share);
   // The rest of a need that fell must not keep the last machine for ever.
   if (needed_cores_ < needed + c::kNeedLeast) needed_cores_ = needed;
-  needed_at_ = now;
+  needed_updated_at_ = now;
 }
 
 std::vector<ScaleOut::ForecastGroup> ScaleOut::forecast_fleet() const {
@@ -108,17 +109,17 @@
 
 // A machine that boots later than usual for its type is not waited for: another is provisioned for the work,
 // and whichever is not needed in the end is returned.
-bool ScaleOut::is_coming(const Machine& machine) const {
+bool ScaleOut::is_expected_up(const Machine& machine) const {
   const auto type = context_.types.find(machine.type);
   if (type != context_.types.end() &&
-      context_.now.steady - machine.provisioned_at > context_.boots.late_after(type->second))
+      context_.now.steady - machine.provisioned_at > context_.boots.late_after_s(type->second))
     return false;
   return machine.state == MachineState::kBooting && machine.provisioned_at > 0 && !machine.listed_failed &&
          !zones_.unresponsive(machine.zone);
 }
 
 bool ScaleOut::is_usable(const Machine& machine) const {
-  return is_coming(machine) || takes_work(context_, machine);
+  return is_expected_up(machine) || takes_work(context_, machine);
 }
 
 // ---------------------------------------------------------------- gangs
@@ -176,7 +177,7 @@
     group.count -= machines;
     left -= on_full + on_last;
     // Capacity that waiting gangs will take is not there for arrays, also while it boots.
-    gang_claim_ += (on_full + on_last) * spec.cpus;
+    gang_claimed_cores_ += (on_full + on_last) * spec.cpus;
     ForecastGroup rest_of_last = group;
     rest_of_last.count = 1;
     rest_of_last.free.take(spec, on_last);
@@ -241,7 +242,7 @@
   // Capacity that costs far more than what is to be had does not count: the cheaper is provisioned, and then
   // the dearer is drained. Waiting gangs take the dear capacity first, as far as it goes.
   const double overpriced = overpriced_cores(offered_price / offered.cpus * c::kOverpricedRatio);
-  const double have = array_capacity_ - std::max(overpriced, gang_claim_);
+  const double have = array_capacity_cores_ - std::max(overpriced, gang_claimed_cores_);
   if (needed_cores_ <= have) return;
   // A machine that is provisioned now helps only with what is left once it is up, and has to find work for at
   // least as long as it booted. The load of steady arrivals will be there then; a backlog may be gone.
@@ -260,7 +261,7 @@
 }
 
 // The rate, in cores, at which the array's work has to be done to be in time.
-double ScaleOut::cores_in_time(const Job& job, double boot_s) const {
+double ScaleOut::cores_to_finish_in_time(const Job& job, double boot_s) const {
   const double run_s = std::max(1.0, scheduler_.run_times().expected(job));
   // The last task should begin a run before the end, so the work has to be under way in what is left. What
   // has no capacity yet has to be under way in what is left once a machine provisioned for it is up. Work
@@ -287,7 +288,7 @@
   std::map<std::string, double> cores_by_team;
   for (const auto& [id, job] : context_.jobs.all()) {
     if (!is_active_array(*job) || fails_everywhere(*job)) continue;
-    cores_by_team[job->spec.team] += cores_in_time(*job, boot_s);
+    cores_by_team[job->spec.team] += cores_to_finish_in_time(*job, boot_s);
   }
   double needed = 0;
   for (const auto& [name, cores] : cores_by_team)
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -54,7 +54,7 @@
   void count_capacity();
   void update_needed_cores();
   std::vector<ForecastGroup> forecast_fleet() const;
-  bool is_coming(const bookkeeping::Machine& machine) const;
+  bool is_expected_up(const bookkeeping::Machine& machine) const;
   bool is_usable(const bookkeeping::Machine& machine) const;
 
   void plan_gangs(Plan& plan);
@@ -67,7 +67,7 @@
 
   void plan_arrays(Plan& plan) const;
   const bookkeeping::Job* typical_array() const;
-  double cores_in_time(const bookkeeping::Job& job, double boot_s) const;
+  double cores_to_finish_in_time(const bookkeeping::Job& job, double boot_s) const;
   double cores_for_due_times() const;
   double backlog_core_s() const;
   double overpriced_cores(double price_per_core_limit) const;
@@ -80,9 +80,9 @@
   const CloudClient& cloud_;
   const ZoneHealth& zones_;
   double needed_cores_ = 0;
-  double needed_at_ = 0;       ///< steady time of the last update; 0: none yet
-  double array_capacity_ = 0;  ///< cores for arrays, there or coming, as of the last plan
-  double gang_claim_ = 0;      ///< of them, what waiting gangs will take
+  double needed_updated_at_ = 0;     ///< steady time of the last update; 0: none yet
+  double array_capacity_cores_ = 0;  ///< cores for arrays, there or coming, as of the last plan
+  double gang_claimed_cores_ = 0;    ///< of them, what waiting gangs will take
   std::map<std::string, int> machines_by_zone_;
 };
 
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -11,7 +11,7 @@
 using bookkeeping::Machine;
 using bookkeeping::MachineState;
 
-bool ZoneHealth::is_quiet(const Machine& machine, double serving_since_s) const {
+bool ZoneHealth::is_silent(const Machine& machine, double serving_since_s) const {
   const double patience_s = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   if (context_.now.steady - std::max(machine.last_heartbeat, serving_since_s) > patience_s) return true;
   return !machine.sent_heartbeat && machine.probe_failures >= c::kProbesEnough;
@@ -24,16 +24,16 @@
   for (const auto& [name, machine] : context_.machines.all()) {
     if (machine.state == MachineState::kGone || !(machine.sent_heartbeat || machine.unreconciled)) continue;
     Count& zone = zones[machine.zone];
-    const bool quiet = is_quiet(machine, serving_since_s);
-    ++(quiet ? zone.quiet : zone.responsive);
-    ++(quiet ? all.quiet : all.responsive);
+    const bool silent = is_silent(machine, serving_since_s);
+    ++(silent ? zone.silent : zone.responsive);
+    ++(silent ? all.silent : all.responsive);
   }
-  if (all.responsive < all.quiet) {
+  if (all.responsive < all.silent) {
     unresponsive_since_.clear();
     return;
   }
   for (const auto& [zone, count] : zones) {
-    if (count.quiet >= c::kZoneOutLeast && count.quiet > count.responsive) {
+    if (count.silent >= c::kZoneOutLeast && count.silent > count.responsive) {
       if (!unresponsive(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
       unresponsive_since_[zone] = now;
     } else if (count.responsive > 0 && unresponsive_since_.erase(zone) > 0) {
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -29,9 +29,9 @@
  private:
   struct Count {
     int responsive = 0;
-    int quiet = 0;
+    int silent = 0;
   };
-  bool is_quiet(const bookkeeping::Machine& machine, double serving_since_s) const;
+  bool is_silent(const bookkeeping::Machine& machine, double serving_since_s) const;
 
   ControllerContext& context_;
   std::map<std::string, double> unresponsive_since_;  ///< zone -> steady time when that was last seen
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -141,7 +141,7 @@
   double pause_s = c::kLoadRetryS;
   if (!waiting_for_next_.empty())
     pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
-  else if (election_.caught_up())
+  else if (election_.caught_up_on_cancellations())
     pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
   if (context_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
@@ -164,7 +164,7 @@
                           if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
                         }
                         if (page->more && !page->items.empty()) return read(page->items.back().key);
-                        context_.cancellations.change_log_read(election_.last_renewed());
+                        context_.cancellations.change_log_read(election_.last_renewal_sent_at());
                         finish_read(true);
                       });
 }
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -31,7 +31,7 @@
     actions_.answer(key, 421, {});
     return false;
   }
-  if (phase_ != LeaderPhase::kNone && election_.answers()) return true;
+  if (phase_ != LeaderPhase::kNone && election_.may_answer_heartbeats()) return true;
   actions_.answer(key, 421, {});
   return false;
 }
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -46,7 +46,7 @@
   next_sweep_ = 0;
   next_tiers_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
-                            [this] { election_.guard_lost(); });
+                            [this] { election_.on_write_conflict(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
@@ -122,7 +122,7 @@
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
           if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
-                                            election_.records_since()))
+                                            election_.unanswered_recorded_since()))
             spdlog::error("malformed record {}", item.key);
         }
         if (page->more && !page->items.empty()) return load_machines(page->items.back().key);
@@ -164,7 +164,7 @@
   settle_loaded_jobs();
   unreconciled_.charge_quota();
   expect_old_cancelled_work_gone();
-  context_.cancellations.change_log_read(election_.last_renewed());
+  context_.cancellations.change_log_read(election_.last_renewal_sent_at());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   reconcile_until_ =
       context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -85,7 +85,7 @@
   }
   /// May launch work: leads, is reconciled, and knows all announced cancellations.
   bool may_place() const {
-    return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up();
+    return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up_on_cancellations();
   }
 
   /// A job was admitted, and is in the ledger.
