--- a/src/coordination/election/former_leaders.cpp
+++ b/src/coordination/election/former_leaders.cpp
@@ -9,16 +9,17 @@
 namespace robinford::coordination {
 namespace c = constants;
 
-void FormerLeaders::set_predecessor(const TermRecord& last) {
-  predecessor_ = last.member;
-  predecessor_incarnation_ = last.incarnation;
+void FormerLeaders::set_predecessor(const TermRecord& predecessor) {
+  predecessor_ = predecessor.member;
+  predecessor_incarnation_ = predecessor.incarnation;
   // An older version does not say its bound, and goes by this one.
   predecessor_answer_bound_s_ =
-      last.answer_ms ? static_cast<double>(*last.answer_ms) / 1000 : c::kDegradedBoundS;
+      predecessor.answer_ms ? static_cast<double>(*predecessor.answer_ms) / 1000 : c::kDegradedBoundS;
   // An older version answers without regard to such records: the count begins anew with this leader.
-  unanswered_recorded_since_ =
-      last.unanswered_recorded_since > 0 ? last.unanswered_recorded_since : last.term + 1;
-  earlier_stopped_wall_ms_ = last.former_stopped_wall_ms;
+  unanswered_recorded_since_ = predecessor.unanswered_recorded_since > 0
+                                   ? predecessor.unanswered_recorded_since
+                                   : predecessor.term + 1;
+  earlier_stopped_wall_ms_ = predecessor.former_stopped_wall_ms;
 }
 
 bool FormerLeaders::predecessor_is_this_member() const {
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -21,7 +21,7 @@
   explicit FormerLeaders(const ControllerContext& context) : context_(context) {}
 
   /// The term record that this controller is about to replace.
-  void set_predecessor(const TermRecord& last);
+  void set_predecessor(const TermRecord& predecessor);
   /// What the new term record says of all leaders before it: wall time, ms.
   std::int64_t stopped_wall_ms() const;
   /// The own term began.
--- a/src/coordination/fleet/boot_times.cpp
+++ b/src/coordination/fleet/boot_times.cpp
@@ -18,9 +18,9 @@
   const auto found = recent_.find(type.name);
   if (found == recent_.end() || found->second.size() < c::kBootsEnough) return c::kBootUsual * type.boot_s;
   std::vector<double> sorted(found->second.begin(), found->second.end());
-  const auto most = sorted.begin() + static_cast<std::ptrdiff_t>(c::kBootQuantile * (sorted.size() - 1));
-  std::nth_element(sorted.begin(), most, sorted.end());
-  return std::clamp(*most * c::kBootLate, c::kBootLate * type.boot_s, c::kBootFactor * type.boot_s);
+  const auto quantile = sorted.begin() + static_cast<std::ptrdiff_t>(c::kBootQuantile * (sorted.size() - 1));
+  std::nth_element(sorted.begin(), quantile, sorted.end());
+  return std::clamp(*quantile * c::kBootLate, c::kBootLate * type.boot_s, c::kBootFactor * type.boot_s);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -12,8 +12,9 @@
 using bookkeeping::MachineState;
 
 bool ZoneHealth::is_silent(const Machine& machine, double serving_since_s) const {
-  const double patience_s = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
-  if (context_.now.steady - std::max(machine.last_heartbeat, serving_since_s) > patience_s) return true;
+  const double silence_limit_s =
+      context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  if (context_.now.steady - std::max(machine.last_heartbeat, serving_since_s) > silence_limit_s) return true;
   return !machine.sent_heartbeat && machine.probe_failures >= c::kProbesEnough;
 }
 
@@ -29,18 +30,18 @@
     ++(silent ? all.silent : all.responsive);
   }
   if (all.responsive < all.silent) {
-    unresponsive_since_.clear();
+    last_unresponsive_at_.clear();
     return;
   }
   for (const auto& [zone, count] : zones) {
     if (count.silent >= c::kZoneOutLeast && count.silent > count.responsive) {
       if (!unresponsive(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
-      unresponsive_since_[zone] = now;
-    } else if (count.responsive > 0 && unresponsive_since_.erase(zone) > 0) {
+      last_unresponsive_at_[zone] = now;
+    } else if (count.responsive > 0 && last_unresponsive_at_.erase(zone) > 0) {
       spdlog::info("zone {} responds again", zone);
     }
   }
-  std::erase_if(unresponsive_since_, [&](const auto& entry) { return now - entry.second > c::kZoneOutS; });
+  std::erase_if(last_unresponsive_at_, [&](const auto& entry) { return now - entry.second > c::kZoneOutS; });
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -19,12 +19,12 @@
   explicit ZoneHealth(ControllerContext& context) : context_(context) {}
 
   /// Forgets all verdicts, for a new term.
-  void clear() { unresponsive_since_.clear(); }
+  void clear() { last_unresponsive_at_.clear(); }
   /// Looks at all machines. `serving_since_s`: steady time since which this leader serves; before it, nobody
   /// could send it heartbeats.
   void update(double serving_since_s);
   /// The last update found the zone unresponsive.
-  bool unresponsive(const std::string& zone) const { return unresponsive_since_.contains(zone); }
+  bool unresponsive(const std::string& zone) const { return last_unresponsive_at_.contains(zone); }
 
  private:
   struct Count {
@@ -34,7 +34,7 @@
   bool is_silent(const bookkeeping::Machine& machine, double serving_since_s) const;
 
   ControllerContext& context_;
-  std::map<std::string, double> unresponsive_since_;  ///< zone -> steady time when that was last seen
+  std::map<std::string, double> last_unresponsive_at_;  ///< zone -> steady time when that was last seen
 };
 
 }  // namespace robinford::coordination
