--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -104,7 +104,7 @@
   retry_in(0);
 }
 
-void Election::on_write_conflict() { step_down("the leader key was changed"); }
+void Election::on_state_diverged() { step_down("the leader key was changed"); }
 
 void Election::higher_term_seen(std::uint64_t term) {
   if (term <= term_) return;
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -52,7 +52,7 @@
   /// A worker or another controller has seen this term.
   void higher_term_seen(std::uint64_t term);
   /// A transaction found the leader key changed.
-  void on_write_conflict();
+  void on_state_diverged();
   /// Hands leadership over at a clean end of the process.
   void resign();
 
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -83,7 +83,7 @@
                                  std::uint64_t mod_revision) {
   auto& group = context_.machines.groups()[record.group];
   group.writing = false;
-  if (outcome == WriteOutcome::kConflict) return election_.on_write_conflict();  // start over from the ledger
+  if (outcome == WriteOutcome::kConflict) return election_.on_state_diverged();  // start over from the ledger
   if (outcome != WriteOutcome::kDone) {
     group.urgent = true;
     return;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -46,7 +46,7 @@
   next_sweep_ = 0;
   next_tiers_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
-                            [this] { election_.on_write_conflict(); });
+                            [this] { election_.on_state_diverged(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -41,7 +41,7 @@
       actions_(std::move(actions)),
       change_log_(context, election,
                   {[this](protocol::JobId id) { on_cancelled_elsewhere(id); },
-                   [this](protocol::JobId id) { read_job(id); }, [this] { election_.on_write_conflict(); }}),
+                   [this](protocol::JobId id) { read_job(id); }, [this] { election_.on_state_diverged(); }}),
       lookup_(context, [this](protocol::JobId id) { on_cancelled_elsewhere(id); }),
       dependencies_(
           context, lookup_,
