--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -40,7 +40,7 @@
 Election::Election(ControllerContext& context, Events events)
     : context_(context), events_(std::move(events)), former_leaders_(context) {}
 
-// ---------------------------------------------------------------- what this controller may do
+// ---------------------------------------------------------------- permissions of this controller
 
 bool Election::valid() const { return role_ == Role::kLeading && context_.now.steady < valid_until_; }
 
@@ -53,7 +53,8 @@
   const double now = context_.now.steady;
   const auto& cancellations = context_.cancellations;
   if (!owns_fencing_token()) return false;
-  // Where leases and cancellations are too close together, nobody announces any before this bound has passed.
+  // In strict mode, only a valid leader announces cancellations, and not before every former leader has
+  // passed this bound.
   if (cancellations.strict())
     return now < last_renewal_sent_at_ + cancellations.answer_s() * (1 - c::kClockDrift);
   return now < cancellations.known_up_to(now) + cancellations.answer_s();
@@ -68,13 +69,13 @@
 
 bool Election::may_announce_cancellation(protocol::JobId id) const {
   auto& cancellations = context_.cancellations;
-  // A valid leader knows it itself. What former leaders have in memory does not matter: none of them is
-  // valid.
+  // A valid leader knows its own announcements, and what former leaders hold in memory does not matter, since
+  // none of them is valid. In strict mode it also waits until no former leader answers heartbeats.
   if (valid()) return !cancellations.strict() || context_.now.steady >= former_leaders_stopped_at();
   return !cancellations.strict() && cancellations.acknowledged_by_all(id, context_.now.steady);
 }
 
-// ---------------------------------------------------------------- changes of role
+// ---------------------------------------------------------------- role changes
 
 void Election::become(Role role) {
   if (role_ == role) return;
@@ -97,30 +98,31 @@
 
 void Election::step_down(const char* reason) {
   if (!leads(role_)) return;
-  spdlog::info("leadership: term {} ends here: {}", term_, reason);
+  spdlog::info("leadership: term {} ended: {}", term_, reason);
   leader_.clear();
   lease_ = 0;
   valid_until_ = -1e9;
   retry_in(0);
 }
 
-void Election::on_state_diverged() { step_down("the leader key was changed"); }
+void Election::on_state_diverged() { step_down("the in-memory state may differ from the key-value store"); }
 
 void Election::higher_term_seen(std::uint64_t term) {
   if (term <= term_) return;
-  step_down("a higher term was seen");
+  step_down("a message carried a higher term");
   term_ = term;
 }
 
 void Election::resign() {
   if (!leads(role_)) return;
   revoke_lease(lease_);
-  step_down("termination requested");
-  next_attempt_at_ = context_.now.steady + 1e9;  // an ending process does not campaign
+  step_down("this process is shutting down");
+  next_attempt_at_ = context_.now.steady + 1e9;  // a process that shuts down does not campaign
 }
 
 void Election::on_status(const protocol::PeerMessage& status) {
-  // Also from one that does not lead: it knows of a leader after this one, which may have ended already.
+  // A leading controller also accepts the term of a peer that does not lead: that peer has seen a later
+  // leader, whose term may have ended already.
   if (status.leading || leads(role_)) higher_term_seen(status.term);
   if (role_ == Role::kLeading) former_leaders_.on_status(status, term_);
 }
@@ -139,7 +141,7 @@
       [[fallthrough]];
     case Role::kDegraded:
       if (!owns_fencing_token())
-        step_down("the degraded leader's bound is reached");
+        step_down("the lease was not renewed within the time limit of a degraded leader");
       else if (now >= next_attempt_at_)
         renew_lease();
       break;
@@ -169,7 +171,8 @@
   }
   const LeaderRecord record = LeaderRecord::decode(read.value);
   if (record.member == context_.settings.member) {
-    // From an earlier process of ours, or a campaign that was carried out late: nobody else acts under it.
+    // An earlier process of this member wrote the key, or a transaction of this process was applied late. No
+    // other process leads under it, so a new campaign may replace it.
     start_campaign(read.mod_revision);
     return;
   }
@@ -197,7 +200,8 @@
     term_ = std::max(term_, record.term);
   }
   if (!gone) return watch_leader_key(std::max(after_revision, watch.revision));
-  // Two followers learn of it at the same time; a short random wait lets one be first.
+  // All followers see the change at the same time. A short random delay keeps their campaigns from
+  // colliding.
   retry_in(watch.complete() ? context_.draw(c::kCampaignJitterS) : c::kCampaignRetryS);
 }
 
@@ -269,7 +273,8 @@
   retry_in(lost ? 0.0 : c::kCampaignRetryS);
 }
 
-// The campaign went unanswered: only the key itself tells whether it was carried out.
+// Reads the leader key after the campaign's transaction got no conclusive answer: only the key shows whether
+// the transaction was applied.
 void Election::resolve_campaign(const Campaign& campaign) {
   context_.state.read(
       kLeaderKey,
@@ -279,8 +284,8 @@
         if (read.found == StateRead::Found::kYes && record.member == context_.settings.member &&
             record.incarnation == context_.incarnation && record.term == campaign.term)
           return begin_term(campaign, read.mod_revision);
-        // Not (yet): the lease is left to expire. A campaign that is carried out later stands under our own
-        // name and is replaced.
+        // The transaction has not been applied, or not yet. The lease is left to expire. If the transaction
+        // is applied later, the key names this member, and the next campaign replaces it.
         retry_in(c::kCampaignRetryS);
       },
       StateClient::Urgency::kFirst);
@@ -298,7 +303,7 @@
   become(Role::kLeading);
 }
 
-// ---------------------------------------------------------------- the lease
+// ---------------------------------------------------------------- leader lease
 
 double Election::lease_valid_until() const {
   return last_renewal_sent_at_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Leader election: a key on a lease of the consensus-backed key-value store, and a term that only grows.
+/// Leader election by a leased key in the consensus-backed key-value store and a term that only grows.
 #pragma once
 
 #include <cstdint>
@@ -13,93 +13,101 @@
 
 namespace robinford::coordination {
 
-/// What this controller is in the election.
+/// Role of this controller in the election.
 enum class Role : std::uint8_t {
-  kDiscovering,  ///< reads who leads
+  kDiscovering,  ///< reads the leader key to learn which member leads
   kFollowing,    ///< another controller leads; watches the leader key
-  kCampaigning,  ///< takes a lease and writes the leader key
+  kCampaigning,  ///< acquires a lease and tries to write the leader key
   kLeading,      ///< holds the leader key, and its lease is valid
-  kDegraded,     ///< can't renew the lease nor learn why: answers heartbeats, changes nothing
+  kDegraded,  ///< the lease could not be renewed in time: answers heartbeats, but launches and writes nothing
 };
-/// The role as log lines name it.
+/// Name of the role in log lines.
 const char* to_text(Role role);
 
-/// The state machine of one controller in the election; `become` is the one place where its role changes.
+/// The election state machine of one controller. Only `become` changes its role.
 ///
-/// Guarantees. At most one controller is `valid` at any time: a leader stops before its lease can expire by
-/// its own clock, drift included. Each term is written by compare-and-swap, so no two leaders share one; it
-/// is the fencing token of all commands. An answer that is lost, late or refused never makes a leader: a
-/// campaign without an answer is resolved by reading the key.
+/// Guarantees:
+///  - At most one controller is `valid` at any time. A leader stops being valid before its lease can expire,
+///    measured by its own clock with an allowance for clock drift.
+///  - No two leaders share a term, since each term is written by compare-and-swap. The term is the fencing
+///    token of all commands.
+///  - A lost, late or refused answer never makes a controller leader. When the campaign's transaction gets no
+///    conclusive answer, the controller reads the leader key to learn the outcome.
 ///
-/// A leader that loses the key-value store is degraded: it goes on answering heartbeats, within the bound of
-/// docs/design.md, "Cancellations", so that running tasks keep their leases.
+/// A leader that can't reach the key-value store is degraded. It keeps answering heartbeats within the bound
+/// of docs/design.md, "Cancellations", so that running tasks keep their leases.
 class Election {
  public:
-  /// Called from within `become`, after the role has changed.
+  /// Callbacks that `become` makes after it has changed the role.
   struct Events {
-    std::function<void()> elected;  ///< a term of this controller begins
-    std::function<void()> lost;     ///< it has ended
+    std::function<void()> elected;  ///< this controller became the leader
+    std::function<void()> lost;     ///< this controller's term has ended
     std::function<void(bool degraded)>
-        degraded;  ///< to or from the degraded role, without an end of the term
+        degraded;  ///< leadership became degraded or recovered, within the same term
   };
-  /// `context` has to outlive it.
+  /// `context` must outlive this object.
   Election(ControllerContext& context, Events events);
 
-  /// Sends the call that is due in the present role.
+  /// Performs the role's timed work: reads the leader key, renews the lease, degrades or steps down.
   void tick();
-  /// A status of another controller arrived.
+  /// Handles a status message from another controller.
   void on_status(const protocol::PeerMessage& status);
-  /// A worker or another controller has seen this term.
+  /// Handles a term reported by a worker or another controller. Steps down if it is higher than the own term.
   void higher_term_seen(std::uint64_t term);
-  /// A transaction found the leader key changed.
+  /// Steps down because the in-memory state may differ from the key-value store, so that the next term starts
+  /// from the stored records: another writer changed the leader key or a record that only the leader writes,
+  /// or entries of the change log may have been missed.
   void on_state_diverged();
-  /// Hands leadership over at a clean end of the process.
+  /// Gives up leadership at a clean shutdown. Revokes the lease, so that another controller can lead at once.
   void resign();
 
-  /// The present role.
+  /// Current role.
   Role role() const { return role_; }
-  /// Of the own leadership, or the highest one seen.
+  /// The term that this controller leads in, or else the highest term it has seen.
   std::uint64_t term() const { return term_; }
-  /// Of the leader key, while leading: what transactions of this term are conditional on.
+  /// Mod revision of the leader key while this controller leads. Transactions of this term require it.
   std::uint64_t mod_revision() const { return mod_revision_; }
-  /// The member that leads, as far as is known; empty if unknown.
+  /// The member last known to lead; empty if unknown.
   const std::string& leader() const { return leader_; }
-  /// Steady time at which the last renewal that was answered was sent.
+  /// Steady time at which the last successful lease renewal was sent.
   double last_renewal_sent_at() const { return last_renewal_sent_at_; }
 
-  /// May place, launch and write.
+  /// Whether this controller leads with an unexpired lease, and so may place, launch and write.
   bool valid() const;
-  /// The fencing token is ours, as far as can be known: commands may carry it. They renew no lease.
+  /// Whether this controller may still send commands with its term as fencing token: it leads, perhaps
+  /// degraded, and has seen no later leader. Such commands renew no worker's lease.
   bool owns_fencing_token() const;
-  /// May answer heartbeats with the fencing token, which renews leases: only while every cancellation that
-  /// any user was told of is known here, or was told so lately that the leases renewed now end in time.
+  /// Whether this controller may answer heartbeats with its fencing token, which renews the workers' leases.
+  /// It may while it knows every cancellation announced to a user, except those announced so recently that
+  /// leases renewed now still expire before the cancellation is due.
   bool may_answer_heartbeats() const;
-  /// The cancellations announced while this controller could not lead are known, so that work may start.
-  /// Guards against the start of a job that was cancelled during an outage and whose change-log entry is not
-  /// read yet.
+  /// Whether this controller has read the cancellations that others announced while it could not lead, so
+  /// that it may start work. Without this check, it could start a job that was cancelled during an outage and
+  /// whose change-log entry it has not read yet.
   bool caught_up_on_cancellations() const;
-  /// Whether a user may be told now that the job is cancelled: all its tasks then end in time, whichever
+  /// Whether a user may be told now that the job is cancelled. If so, all its tasks end in time, whichever
   /// controller answers heartbeats.
   bool may_announce_cancellation(protocol::JobId id) const;
 
-  /// All leaders from this term on have put on record which machines they do not answer.
+  /// First term from which on every leader has recorded the machines whose heartbeats it does not answer.
   std::uint64_t unanswered_recorded_since() const { return former_leaders_.unanswered_recorded_since(); }
-  /// Steady time after which no former leader answers any heartbeat.
+  /// Steady time after which no former leader answers heartbeats.
   double former_leaders_stopped_at() const { return former_leaders_.stopped_at(); }
 
  private:
-  /// One attempt to lead. The key and the term record are written in one transaction, conditional on both.
+  /// One attempt to become leader. Leader key and term record are written in one transaction that requires
+  /// the mod revisions below.
   struct Campaign {
-    std::uint64_t key_mod_revision = 0;   ///< that the leader key must have; 0: it must not exist
-    std::uint64_t term_mod_revision = 0;  ///< that the term record must have
-    std::uint64_t term = 0;               ///< to begin
+    std::uint64_t key_mod_revision = 0;   ///< expected of the leader key; 0: the key must not exist
+    std::uint64_t term_mod_revision = 0;  ///< expected of the term record
+    std::uint64_t term = 0;               ///< the term to begin
     std::uint64_t lease = 0;
-    double lease_sent_at = 0;  ///< steady time at which the lease was asked for: it began no earlier
+    double lease_sent_at = 0;  ///< steady time of the lease request: the lease began no earlier
   };
 
   bool leads(Role role) const { return role == Role::kLeading || role == Role::kDegraded; }
   void become(Role role);
-  /// Back to discovering, with the next attempt after `pause_s`.
+  /// Returns to discovering; the next attempt is made after `pause_s`.
   void retry_in(double pause_s);
   void step_down(const char* reason);
 
@@ -124,16 +132,16 @@
   Events events_;
   FormerLeaders former_leaders_;
   Role role_ = Role::kDiscovering;
-  std::uint64_t role_changes_ = 0;  ///< so that answers to calls of an earlier role are known as such
-  bool call_in_flight_ = false;     ///< of the present role
-  double next_attempt_at_ = 0;      ///< steady
+  std::uint64_t role_changes_ = 0;  ///< lets answers to calls of an earlier role be ignored
+  bool call_in_flight_ = false;     ///< a read of the leader key in the current role
+  double next_attempt_at_ = 0;      ///< steady time of the next read of the leader key or renewal
   std::string leader_;
   std::uint64_t term_ = 0;
   std::uint64_t mod_revision_ = 0;
   std::uint64_t lease_ = 0;
-  double valid_until_ = -1e9;           ///< steady
-  double last_renewal_sent_at_ = -1e9;  ///< steady
-  double leading_since_ = -1e9;         ///< steady, without a break
+  double valid_until_ = -1e9;           ///< steady time
+  double last_renewal_sent_at_ = -1e9;  ///< steady time
+  double leading_since_ = -1e9;         ///< steady time at which the role last became kLeading
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/former_leaders.cpp
+++ b/src/coordination/election/former_leaders.cpp
@@ -12,10 +12,11 @@
 void FormerLeaders::set_predecessor(const TermRecord& predecessor) {
   predecessor_ = predecessor.member;
   predecessor_incarnation_ = predecessor.incarnation;
-  // An older version does not say its bound, and goes by this one.
+  // Leaders of older versions don't record their bound; they use this one.
   predecessor_answer_bound_s_ =
       predecessor.answer_ms ? static_cast<double>(*predecessor.answer_ms) / 1000 : c::kDegradedBoundS;
-  // An older version answers without regard to such records: the count begins anew with this leader.
+  // A leader of an older version answers heartbeats without recording unanswered machines, so the guarantee
+  // starts again with the term after it.
   unanswered_recorded_since_ = predecessor.unanswered_recorded_since > 0
                                    ? predecessor.unanswered_recorded_since
                                    : predecessor.term + 1;
@@ -51,18 +52,18 @@
 
 void FormerLeaders::on_status(const protocol::PeerMessage& status, std::uint64_t own_term) {
   if (status.member != predecessor_ || context_.now.steady >= predecessor_stopped_at_) return;
-  // Late messages of a still older process must not pass for a newer one, so the start times must differ by
-  // more than the clock's error.
+  // A late message of a still older process must not be taken for one of a newer process. The start times
+  // must therefore differ by more than the clock error of both.
   if (process_start_wall_ms(status.incarnation) >
       process_start_wall_ms(predecessor_incarnation_) + 2 * context_.settings.clock_error_ms)
-    record_early_stop("it was started anew");
+    record_early_stop("its process was restarted");
   else if (status.incarnation == predecessor_incarnation_ && status.term >= own_term && !status.leading)
-    record_early_stop("it knows the new term");
+    record_early_stop("it has seen the new term");
 }
 
 void FormerLeaders::record_early_stop(const char* reason) {
   predecessor_stopped_at_ = context_.now.steady;
-  spdlog::info("leadership: the former leader {} has ended: {}", predecessor_, reason);
+  spdlog::info("leadership: former leader {} no longer answers heartbeats: {}", predecessor_, reason);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When earlier leaders have stopped answering heartbeats.
+/// Tracks when earlier leaders have stopped answering heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,28 @@
 
 namespace robinford::coordination {
 
-/// A leader that lost the key-value store goes on answering heartbeats for a while, which renews the leases
-/// of its workers (docs/design.md, "Cancellations"). Its successor has to know when that has ended for
-/// certain: by the bound on record, or sooner when the former leader itself shows that it knows of the new
-/// term or was started again.
+/// Determines when all former leaders have certainly stopped answering heartbeats.
+///
+/// A leader that can't reach the key-value store keeps answering heartbeats for a while, which renews the
+/// leases of its workers (docs/design.md, "Cancellations"). It has stopped when the bound in the term record
+/// has passed, or earlier if one of its status messages shows that it has seen the new term or was restarted.
 class FormerLeaders {
  public:
-  /// Nothing is known yet. `context` has to outlive it.
+  /// `context` must outlive this object.
   explicit FormerLeaders(const ControllerContext& context) : context_(context) {}
 
-  /// The term record that this controller is about to replace.
+  /// Reads the predecessor's data from the term record that this controller is about to replace.
   void set_predecessor(const TermRecord& predecessor);
-  /// What the new term record says of all leaders before it: wall time, ms.
+  /// Wall time, ms, for the new term record: after it, no leader before the new one answers heartbeats.
   std::int64_t stopped_wall_ms() const;
-  /// The own term began.
+  /// Computes the steady times of `stopped_at` when this controller's term begins.
   void on_term_begun();
-  /// A status of another controller, while the term `own_term` lasts.
+  /// Handles a status of another controller while this controller leads in term `own_term`.
   void on_status(const protocol::PeerMessage& status, std::uint64_t own_term);
 
-  /// Steady time after which no former leader answers any heartbeat.
+  /// Steady time after which no former leader answers heartbeats.
   double stopped_at() const;
-  /// All leaders from this term on have put on record which machines they do not answer.
+  /// First term from which on every leader has recorded the machines whose heartbeats it does not answer.
   std::uint64_t unanswered_recorded_since() const { return unanswered_recorded_since_; }
 
  private:
@@ -40,13 +41,13 @@
   void record_early_stop(const char* reason);
 
   const ControllerContext& context_;
-  std::string predecessor_;
+  std::string predecessor_;  ///< member that led in the last term; empty: there was none
   std::uint64_t predecessor_incarnation_ = 0;
-  double predecessor_answer_bound_s_ = 0;     ///< how long the last leader may answer
-  std::int64_t earlier_stopped_wall_ms_ = 0;  ///< when all leaders before the last one have stopped
+  double predecessor_answer_bound_s_ = 0;     ///< how long the predecessor may answer heartbeats
+  std::int64_t earlier_stopped_wall_ms_ = 0;  ///< after it, no leader before the predecessor answers
   std::uint64_t unanswered_recorded_since_ = 0;
-  double predecessor_stopped_at_ = -1e9;  ///< steady
-  double earlier_stopped_at_ = -1e9;      ///< steady
+  double predecessor_stopped_at_ = -1e9;  ///< steady time
+  double earlier_stopped_at_ = -1e9;      ///< steady time, of all leaders before the predecessor
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The two records behind an election: the leader key, which lives as long as the leader's lease, and the
-/// term record, which stays. Their keys are in bookkeeping/store_keys.hpp.
+/// The two stored records of an election: the leader key, which the key-value store deletes when the leader's
+/// lease expires, and the term record, which is kept. Their keys are in bookkeeping/store_keys.hpp.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,34 +10,35 @@
 
 namespace robinford::coordination {
 
-/// The process that leads, and its term, which is the fencing token of its commands.
+/// Value of the leader key: the leading process, and its term, which is the fencing token of its commands.
 struct LeaderRecord {
-  std::string member;             ///< that leads
-  std::uint64_t incarnation = 0;  ///< of its process
-  std::uint64_t term = 0;         ///< that it leads in
+  std::string member;             ///< the leading member
+  std::uint64_t incarnation = 0;  ///< of the member's process
+  std::uint64_t term = 0;         ///< the term it leads in
 
-  /// The record as it stands in the key-value store.
+  /// The record as stored in the key-value store.
   boost::json::object encode() const;
-  /// Missing fields are left empty: the record was written by another version, or there is none.
+  /// Fields missing from `value` are left empty: there is no record, or another version wrote it.
   static LeaderRecord decode(const boost::json::value& value);
 };
 
-/// What a leader leaves for its successors about itself and all leaders before it.
+/// Value of the term record: what a leader's successors need to know about it and all leaders before it.
 struct TermRecord {
-  std::string member;             ///< that led
-  std::uint64_t incarnation = 0;  ///< of its process
-  std::uint64_t term = 0;         ///< that it led in
-  /// First term whose leader and all later ones put on record which machines they do not answer; 0: unknown.
+  std::string member;             ///< the member that led
+  std::uint64_t incarnation = 0;  ///< of the member's process
+  std::uint64_t term = 0;         ///< the term it led in
+  /// First term from which on every leader has recorded the machines whose heartbeats it does not answer; 0:
+  /// unknown.
   std::uint64_t unanswered_recorded_since = 0;
-  /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was none.
+  /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was no earlier leader.
   std::int64_t former_stopped_wall_ms = 0;
-  /// How long this leader may answer heartbeats once another one is elected; nothing in records of versions
-  /// that did not say it.
+  /// How long this leader may answer heartbeats after another one is elected, in ms; absent in records of
+  /// older versions.
   std::optional<std::int64_t> answer_ms;
 
-  /// The record as it stands in the key-value store.
+  /// The record as stored in the key-value store.
   boost::json::object encode() const;
-  /// Missing fields are left empty, as in records of earlier versions.
+  /// Fields missing from `value` are left empty, as in records of older versions.
   static TermRecord decode(const boost::json::value& value);
 };
 
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which controllers run a version that knows dependencies, for rolling upgrades.
+/// Tracks which controllers run a version that supports job dependencies, for rolling upgrades.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,35 @@
 
 namespace robinford::coordination {
 
-/// The registry of versions in the key-value store. Each process registers itself under its member name with
-/// its incarnation and feature level; versions before the registry neither write nor read these keys, and are
-/// sent no frame that they do not know. A member whose present process has not registered counts as old.
+/// The registry of controller versions in the key-value store. Each process registers its incarnation and
+/// feature level under its member name. Versions older than the registry neither write nor read these keys,
+/// so a member whose running process has not registered counts as old and is sent no frames that old versions
+/// do not know.
 class PeerVersions {
  public:
-  /// Knows the members that the settings name. `context` has to outlive it.
+  /// Tracks the peers named in the settings. `context` must outlive this object.
   explicit PeerVersions(ControllerContext& context);
 
-  /// Registers this process, then reads the registry until every present process is known.
+  /// Registers this process, then reads the registry until the running process of every peer is registered.
   void tick();
-  /// The process from which the member's last status came.
+  /// Notes the incarnation in the member's latest status.
   void observe(const std::string& member, std::uint64_t incarnation);
-  /// The member's present process is known to understand dependencies.
+  /// Whether the member's running process is known to support dependencies.
   bool understands_dependencies(const std::string& member) const;
-  /// The member's present process hands out quota leases when it leads.
+  /// Whether the member's running process grants quota leases when it leads.
   bool serves_quota_leases(const std::string& member) const;
-  /// This process hands out quota leases when it leads. Has to be called before the first tick.
+  /// Registers this process as one that grants quota leases when it leads. Must be called before the first
+  /// tick.
   void offer_quota_leases() { offers_quota_leases_ = true; }
-  /// Every controller has registered once: the rolling upgrade is over, and stays so for this process.
+  /// Whether every peer has registered at least once. The rolling upgrade is then complete, and this process
+  /// keeps regarding it so.
   bool upgrade_complete() const { return upgrade_complete_; }
 
  private:
   struct Member {
-    std::uint64_t registered_incarnation = 0;  ///< incarnation of the process that registered last
-    std::uint64_t latest_incarnation = 0;      ///< incarnation seen last; 0: none yet
-    bool quota_leases = false;                 ///< of the registered process
+    std::uint64_t registered_incarnation = 0;  ///< of the process that registered last; 0: none yet
+    std::uint64_t latest_incarnation = 0;      ///< in the member's latest status; 0: none received yet
+    bool quota_leases = false;                 ///< the registered process grants them when it leads
   };
   void register_self();
   void write_registration(std::uint64_t mod_revision);
@@ -44,12 +47,12 @@
   bool all_latest_are_registered() const;
 
   ControllerContext& context_;
-  std::map<std::string, Member> members_;  ///< all others that the settings name
+  std::map<std::string, Member> members_;  ///< all peers named in the settings
   bool offers_quota_leases_ = false;
   bool registered_ = false;
   bool call_in_flight_ = false;
   bool upgrade_complete_ = false;
-  double next_check_ = 0;  ///< steady
+  double next_check_ = 0;  ///< steady time
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/boot_times.hpp
+++ b/src/coordination/fleet/boot_times.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long machines of each type took to boot lately.
+/// Recent boot times by machine type.
 #pragma once
 
 #include <deque>
@@ -10,13 +10,13 @@
 
 namespace robinford::coordination {
 
-/// Keeps the last boot times of each machine type, and tells from when on a boot counts as late.
+/// Keeps the most recent boot times of each machine type and derives the time after which a boot is late.
 class BootTimes {
  public:
-  /// A machine of the type was up `seconds` after its provisioning request.
+  /// Records that a machine of the type was up `seconds` after its provisioning request.
   void record(const std::string& type, double seconds);
-  /// Seconds after its provisioning request from which a machine is not counted on any more and a replacement
-  /// is provisioned.
+  /// Seconds after the provisioning request at which a boot is late: the machine is no longer counted on, and
+  /// a replacement is provisioned.
   double late_after_s(const protocol::MachineType& type) const;
 
  private:
--- a/src/coordination/fleet/capacity_pool.hpp
+++ b/src/coordination/fleet/capacity_pool.hpp
@@ -8,10 +8,10 @@
 
 namespace robinford::coordination {
 
-/// Price and availability belong to a machine kind: machines of one type, in one zone, spot or ordinary.
+/// The cloud sets price and availability per machine kind: one type in one zone, spot or on-demand.
 using CapacityPool = MachineKind;
 
-/// The pool as log lines name it, for example `g8 a spot`.
+/// Name of the pool in log lines, for example `g8 a spot`.
 inline std::string to_text(const CapacityPool& pool) {
   return pool.type + " " + pool.zone + (pool.spot ? " spot" : "");
 }
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// The cloud gives the same status for an outage and for a pool without machines; only the text differs.
+// The cloud answers 503 in an outage and for a pool without free machines; only the body tells them apart.
 bool is_out_of_capacity(const CallResult& result) {
   return result.status == 503 && result.body.find("capacity") != std::string::npos;
 }
@@ -92,7 +92,8 @@
   });
 }
 
-// The other controllers need the machine types to decide on submissions, and spare the cloud their calls.
+// Writes the machine types to the key-value store. The other controllers check submissions against them and
+// so need no calls to the cloud.
 void CloudClient::publish_catalog() {
   catalog_published_ = true;
   std::vector<protocol::MachineType> types;
@@ -123,7 +124,8 @@
   });
 }
 
-// The list lags and may go back in time: it makes machines known, and neither frees nor ends anything.
+// The machine list lags, and a later list may show an older state. So it only adds machines and facts about
+// them; it neither releases capacity nor ends tasks.
 void CloudClient::apply_machine_list(const protocol::MachineList& list) {
   const double now = context_.now.steady;
   if (list.machines.empty() && context_.machines.all().empty()) scheduler_.cloud_is_empty();
@@ -147,11 +149,11 @@
 void CloudClient::provision(const CapacityPool& pool, int count) {
   for (int left = count; left > 0; left -= c::kProvisionMax) {
     ProvisioningRequest request;
-    // Unique over terms, and so over processes: a term has one leader.
+    // The term makes the name unique across processes, since each term has only one leader.
     request.name = "r-" + std::to_string(election_.term()) + "-" + std::to_string(++request_counter_);
     request.pool = pool;
     request.count = std::min(left, c::kProvisionMax);
-    spdlog::info("provisioning {} x {}", request.count, to_text(pool));
+    spdlog::info("provisioning {} machines of pool {}", request.count, to_text(pool));
     requests_.push_back(std::move(request));
   }
 }
@@ -189,10 +191,10 @@
     spdlog::info("no capacity for {}", to_text(pool));
     mark_refused(pool);
   } else if (result.status == 400) {
-    spdlog::error("the cloud rejects a provisioning request for {} as malformed", pool.type);
+    spdlog::error("the cloud rejected a provisioning request for {} as malformed", pool.type);
     mark_refused(pool);
   } else {
-    // It may have been carried out: repeated under the same name, it provisions nothing twice.
+    // The request may have been carried out. A retry under the same name provisions nothing twice.
     request->next_try_s = context_.now.steady + c::kProvisionRetryS;
     return;
   }
@@ -231,7 +233,7 @@
   next_return_ = context_.now.steady + c::kFleetStepS;
   call("POST", n::kPathReturn, protocol::return_json(names), [this, names](const CallResult& result) {
     return_in_flight_ = false;
-    if (result.status != 200) return;  // tried again at the next review
+    if (result.status != 200) return;  // the next call of return_machines retries it
     for (const auto& name : names) {
       Machine* machine = context_.machines.find(name);
       if (machine == nullptr) continue;
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -14,49 +14,49 @@
 
 namespace robinford::coordination {
 
-/// Machines asked of one pool. A request without an answer is repeated under its name, under which the cloud
-/// provisions only once.
+/// A request for machines of one pool. A request without an answer is retried under the same name; the cloud
+/// provisions only once for each name.
 struct ProvisioningRequest {
-  std::string name;        ///< unique over all terms
-  CapacityPool pool;       ///< of which machines are asked
-  int count = 0;           ///< machines
-  bool in_flight = false;  ///< sent, and not answered
-  double next_try_s = 0;   ///< steady time
+  std::string name;        ///< unique across all terms
+  CapacityPool pool;       ///< the pool to provision from
+  int count = 0;           ///< number of machines
+  bool in_flight = false;  ///< sent and not answered
+  double next_try_s = 0;   ///< steady time of the next attempt
 };
 
-/// Which machines in the state kReturning a return call may name.
+/// Which of the machines in the state kReturning a return call may name.
 enum class ReturnScope : std::uint8_t {
   kAll,
-  kCancelledWorkOnly,  ///< those that may still run cancelled work, for a leader that may change nothing else
+  kCancelledWorkOnly,  ///< those that may still run cancelled work; the scope of a degraded leader
 };
 
-/// Owns the budget of cloud calls, the provisioning requests and the pools that lately refused one. What the
-/// answers show goes into the machine ledger. Answers that arrive after `end` are dropped.
+/// Owns the rate budget of cloud calls, the provisioning requests and the list of pools that recently refused
+/// one. Applies the answers to the machine ledger. Answers that arrive after `end` are dropped.
 class CloudClient {
  public:
-  /// The arguments have to outlive it.
+  /// The arguments must outlive this object.
   CloudClient(ControllerContext& context, const Election& election, Scheduler& scheduler);
 
-  /// A new term of leadership: nothing is in flight.
+  /// Starts a term of leadership with no requests and no calls in flight.
   void begin();
-  /// The term has ended: answers from now on are dropped.
+  /// Ends the term: answers that arrive from now on are dropped.
   void end();
-  /// Adds to the budget what has accrued up to now.
+  /// Adds to the budget the calls that have accrued up to now.
   void refill_budget() { budget_.refill(context_.now.steady); }
-  /// Sends the call that is due, if the budget covers one: the catalog first, then provisioning requests,
-  /// then the machine list.
+  /// Sends the most urgent call that is due, if the budget covers one: first the catalog, then provisioning
+  /// requests, then the machine list.
   void send_due_call();
 
-  /// Queues requests for `count` machines, each within the cloud's limit for one request.
+  /// Queues requests for `count` machines in all, each within the cloud's limit for one request.
   void provision(const CapacityPool& pool, int count);
-  /// A request for the pool waits or is in flight.
+  /// Whether a request for the pool is queued or in flight.
   bool has_request(const CapacityPool& pool) const;
   /// All requests without a final answer.
   const std::vector<ProvisioningRequest>& requests() const { return requests_; }
-  /// The pool did not refuse a request lately.
+  /// Whether the pool has not refused a request recently.
   bool may_have_capacity(const CapacityPool& pool) const;
 
-  /// Returns machines that are in the state kReturning, one call at a time.
+  /// Returns machines in the state kReturning to the cloud, with one call in flight at a time.
   void return_machines(ReturnScope scope);
 
  private:
@@ -76,13 +76,13 @@
   const Election& election_;
   Scheduler& scheduler_;
   bookkeeping::TokenBucket budget_;
-  std::uint64_t generation_ = 0;  ///< of leadership, so that late answers are known as such
+  std::uint64_t generation_ = 0;  ///< changes at the start and end of a term, to recognize late answers
   std::uint64_t request_counter_ = 0;
   std::vector<ProvisioningRequest> requests_;
   std::map<CapacityPool, double> refused_until_;  ///< steady time
-  double next_return_ = 0;
-  double next_catalog_ = 0;
-  double next_list_ = 0;
+  double next_return_ = 0;                        ///< steady time
+  double next_catalog_ = 0;                       ///< steady time
+  double next_list_ = 0;                          ///< steady time
   bool catalog_in_flight_ = false;
   bool list_in_flight_ = false;
   bool return_in_flight_ = false;
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -31,7 +31,8 @@
   const LeaderPhase phase = scheduler_.phase();
   if (!election_.owns_fencing_token() || phase == LeaderPhase::kNone || phase == LeaderPhase::kLoading)
     return;
-  // A degraded leader returns nothing but what may run cancelled work: users were promised that it ends.
+  // A degraded leader returns only machines that may still run cancelled work, since users were promised that
+  // this work ends.
   if (!election_.valid()) return cloud_.return_machines(ReturnScope::kCancelledWorkOnly);
   if (context_.now.steady >= next_review_) {
     next_review_ = context_.now.steady + c::kFleetStepS;
@@ -54,7 +55,7 @@
   scale_in_.remove_stale_machines();
 }
 
-// Several requests at once for a large need, and none while one for the same pool is unanswered.
+// Queues several requests at once for a large shortage, but none for a pool that still has an unanswered one.
 void Fleet::provision(const PoolCounts& missing) {
   for (const auto& [pool, count] : missing)
     if (!cloud_.has_request(pool))
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The fleet of the leader: reviews scale-out and scale-in, and keeps the cloud's answers coming.
+/// Manages the leader's fleet: reviews scale-out and scale-in, and sends the cloud calls that are due.
 #pragma once
 
 #include "coordination/controller_context.hpp"
@@ -12,17 +12,17 @@
 
 namespace robinford::coordination {
 
-/// Wires the parts of the package, in the order in which they depend on one another: ZoneHealth, CloudClient,
-/// ScaleOut, ScaleIn. Does nothing unless this controller leads.
+/// Owns the parts of this package, declared in the order in which they depend on one another: ZoneHealth,
+/// CloudClient, ScaleOut, ScaleIn. Does nothing unless this controller leads.
 class Fleet {
  public:
-  /// The arguments have to outlive it.
+  /// The arguments must outlive this object.
   Fleet(ControllerContext& context, Election& election, Scheduler& scheduler);
-  /// This controller was elected.
+  /// Starts a term after this controller was elected.
   void begin();
-  /// It does not lead any more.
+  /// Ends the term when this controller no longer leads.
   void end();
-  /// Reviews the fleet when that is due, and sends the cloud call that is due.
+  /// Reviews the fleet if a review is due, and sends the cloud call that is due.
   void tick();
 
  private:
@@ -36,8 +36,8 @@
   CloudClient cloud_;
   ScaleOut scale_out_;
   ScaleIn scale_in_;
-  double next_review_ = 0;
-  double next_log_ = 0;
+  double next_review_ = 0;  ///< steady time
+  double next_log_ = 0;     ///< steady time
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/fleet_figures.hpp
+++ b/src/coordination/fleet/fleet_figures.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Figures of machines and machine types that scale-out and scale-in both compute with.
+/// Quantities of machines and machine types that both scale-out and scale-in use.
 #pragma once
 
 #include "coordination/controller_context.hpp"
@@ -7,20 +7,20 @@
 
 namespace robinford::coordination {
 
-/// Cores of a machine that are left beside the gangs on it.
+/// Cores of the machine that its gangs and their reservations leave for arrays.
 double array_cores(const bookkeeping::Machine& machine);
 
-/// Present price of a core of the machine for an hour; 0 while its type is unknown.
+/// Current price of one core of the machine per hour; 0 while its type is unknown.
 double price_per_core(const ControllerContext& context, const bookkeeping::Machine& machine);
 
 /// Nominal boot time in seconds of the type that boots fastest; 0 while no type is known.
 double shortest_boot_s(const ControllerContext& context);
 
-/// Mean number of idle machines to keep for the gangs that arrive while one machine boots, or what the policy
-/// script sets. Arrays may use them meanwhile.
+/// Number of spare machines to keep for gangs: the mean number that gangs arriving while one machine boots
+/// will need, unless the policy script sets a number. Arrays may use spare machines until gangs need them.
 int spare_gang_machines(const ControllerContext& context, const Scheduler& scheduler);
 
-/// Nothing runs on the machine, is reserved on it or may run on it.
+/// Whether nothing runs on the machine, may still run on it, or is reserved on it.
 bool is_empty(const bookkeeping::Machine& machine);
 
 }  // namespace robinford::coordination
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -39,8 +39,9 @@
   for (Machine* machine : machines) {
     const double cores = array_cores(*machine);
     if (have - cores < array_cores_needed) continue;
-    // A machine with a gang stays anyway. Marked already now, it takes no arrays when its gang ends: their
-    // tasks would hold the dearest machines for as long as the longest of them runs.
+    // A machine with a gang stays until the gang ends, and its cores still count. It is drained already now
+    // so that no array tasks start on it: they would hold the most expensive machines until the longest task
+    // ends.
     if (scheduler_.has_gang(*machine)) {
       machine->draining = true;
       continue;
@@ -63,11 +64,12 @@
     if (machine.state == MachineState::kUnresponsive) ++unresponsive;
   }
   FleetView view;
-  // When many are unresponsive at once the network is the likelier cause, and returning them would cost all
-  // their work.
+  // When many machines are unresponsive at once, the network is the likelier cause, and returning them would
+  // lose all their work.
   view.network_fault = unresponsive > 2 && unresponsive > known * c::kUnresponsiveShareMax;
-  // A few machines that send no heartbeats hold up the work of earlier leaders; many are a network fault that
-  // will pass.
+  // Jobs that an earlier leader may have started on an unreconciled machine wait until it is known what runs
+  // there. A few such machines are given up to let these jobs go on; many indicate a network fault that will
+  // pass.
   view.few_unreconciled = scheduler_.unreconciled_machines() <=
                           std::max<std::size_t>(c::kFewUnreconciled, known * c::kFewUnreconciledShare);
   view.gangs_arrive = scheduler_.gang_rate() > 0;
@@ -78,22 +80,22 @@
 const char* ScaleIn::return_reason(const Machine& machine, const FleetView& view) const {
   const auto type = context_.types.find(machine.type);
   const double boot_s = type == context_.types.end() ? c::kUnknownBootS : type->second.boot_s;
-  if (machine.listed_failed) return "it failed";
+  if (machine.listed_failed) return "the cloud lists it as failed";
   if (machine.state == MachineState::kBooting && machine.provisioned_at > 0 && !machine.sent_heartbeat &&
       !machine.unreconciled &&
       context_.now.steady - machine.provisioned_at > boot_s * c::kBootFactor + c::kBootSlackS)
-    return "it does not come up";
+    return "it did not boot in time";
   if (scheduler_.give_up(machine) && (!view.network_fault || machine.interruption_at))
     return "it is unresponsive";
   if (machine.unreconciled && scheduler_.phase() == LeaderPhase::kServing && view.few_unreconciled &&
       machine.probe_failures >= c::kProbesEnough)
-    return "unresponsive since an earlier leader, and jobs wait for proof of what it runs";
+    return "unresponsive since an earlier leader, and jobs wait until it is known what it runs";
   if (machine.cordoned && (is_empty(machine) || !machine.saw_term)) return "it was cordoned";
   return nullptr;
 }
 
-// To keep an idle machine for as long as its successor would boot costs at most twice what hindsight would
-// pay.
+// Seconds that the machine may stay idle. Keeping an idle machine for as long as its replacement would take
+// to boot costs at most twice as much as the best choice in hindsight.
 double ScaleIn::idle_limit_s(const Machine& machine, const FleetView& view) const {
   if (context_.policy.idle_return_s >= 0) return context_.policy.idle_return_s;
   const auto type = context_.types.find(machine.type);
@@ -122,7 +124,8 @@
   }
 }
 
-// What no list, heartbeat or record has shown for long does not exist.
+// Whether the machine's entry in the ledger has no more use: its return was confirmed long ago, or no list,
+// heartbeat or unreconciled record has shown it for long, so that it does not exist.
 bool ScaleIn::is_stale(const Machine& machine) const {
   const double now = context_.now.steady;
   if (machine.state == MachineState::kGone) return now - machine.known_at > c::kGoneKeptS;
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which machines take no new work, and which are returned to the cloud.
+/// Decides which machines are drained and which are returned to the cloud.
 #pragma once
 
 #include "coordination/controller_context.hpp"
@@ -7,26 +7,27 @@
 
 namespace robinford::coordination {
 
-/// Decides on scale-in: sets `Machine::draining` and moves machines to the state kReturning. The calls that
-/// return them are made by CloudClient.
+/// Decides on scale-in: sets `Machine::draining` and moves machines to the state kReturning. CloudClient
+/// makes the calls that return them.
 class ScaleIn {
  public:
-  /// The arguments have to outlive it.
+  /// The arguments must outlive this object.
   ScaleIn(ControllerContext& context, const Scheduler& scheduler);
 
-  /// More capacity than the arrays need: the dearest machines take no new array tasks, so that they become
-  /// idle and can be returned.
+  /// Drains the most expensive machines while there is more capacity than the arrays need: they take no new
+  /// array tasks, so that they become idle and can be returned.
   void drain_surplus(double array_cores_needed);
-  /// Marks machines that failed, are lost or are idle for longer than pays.
+  /// Moves machines to the state kReturning that failed, did not boot, are unresponsive or cordoned, or have
+  /// been idle for too long.
   void mark_for_return();
-  /// Removes machines from the ledger that nothing has shown for long.
+  /// Removes machines from the ledger that were returned long ago, or that no source has shown for long.
   void remove_stale_machines();
 
  private:
-  /// What one pass over the fleet shows about all of it.
+  /// Properties of the whole fleet, computed once per pass.
   struct FleetView {
     bool network_fault = false;  ///< so many machines are unresponsive that the network is the likelier cause
-    bool few_unreconciled = false;  ///< few enough to be given up while jobs wait for proof of what they run
+    bool few_unreconciled = false;  ///< so few that they may be returned while jobs wait for them
     bool gangs_arrive = false;
     bool arrays_arrive = false;
   };
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -22,7 +22,8 @@
 
 Resources resources_of(const MachineType& type) { return {type.cpus, type.gpus, type.memory_gb}; }
 
-// A job that fails on every machine must not make the fleet grow.
+// Whether the job failed on so many machines that the fault is probably its own. Such a job is no reason to
+// add machines.
 bool fails_everywhere(const Job& job) {
   return static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines;
 }
@@ -82,7 +83,8 @@
   const double kept_share =
       needed_updated_at_ > 0 ? std::exp(-(now - needed_updated_at_) / c::kNeedFallS) : 0;
   needed_cores_ = std::max(needed, needed + (needed_cores_ - needed) * kept_share);
-  // The rest of a need that fell must not keep the last machine for ever.
+  // The decaying need never quite reaches the new value; without this cutoff its remainder would keep the
+  // last machine forever.
   if (needed_cores_ < needed + c::kNeedLeast) needed_cores_ = needed;
   needed_updated_at_ = now;
 }
@@ -107,8 +109,8 @@
   return fleet;
 }
 
-// A machine that boots later than usual for its type is not waited for: another is provisioned for the work,
-// and whichever is not needed in the end is returned.
+// Whether the machine is booting and can still be counted on. A machine whose boot is late for its type does
+// not count: a replacement is provisioned, and whichever of the two is not needed in the end is returned.
 bool ScaleOut::is_expected_up(const Machine& machine) const {
   const auto type = context_.types.find(machine.type);
   if (type != context_.types.end() &&
@@ -144,7 +146,8 @@
   add_missing_for(spec, only_zone, left, plan);
 }
 
-// A one-zone gang is helped by capacity in one zone only: where most of it is there or coming.
+// Chooses the zone for a gang that must run in one zone: the one with the most free, booting or requested
+// capacity for it, or else that of the cheapest pool.
 std::string ScaleOut::zone_for(const JobSpec& spec, const Plan& plan) const {
   std::map<std::string, std::uint32_t> slots_by_zone;
   for (const auto& group : plan.fleet)
@@ -161,10 +164,10 @@
   return pool ? pool->zone : std::string();
 }
 
-// Takes the capacity that the gang will use out of the forecast; returns the tasks that found none.
+// Removes the capacity that the gang will use from the forecast. Returns the tasks that did not fit.
 std::uint32_t ScaleOut::pack_into_forecast(const JobSpec& spec, const std::string& only_zone, Plan& plan) {
   std::uint32_t left = spec.tasks;
-  // Groups of one machine, partly used, are appended on the way and looked at as well.
+  // Partly used machines are appended as groups of one; the loop visits these too.
   for (std::size_t i = 0; i < plan.fleet.size() && left > 0; ++i) {
     ForecastGroup& group = plan.fleet[i];
     if (!only_zone.empty() && group.pool.zone != only_zone) continue;
@@ -176,7 +179,7 @@
     const std::uint32_t on_last = std::min(tasks_each, left - on_full);
     group.count -= machines;
     left -= on_full + on_last;
-    // Capacity that waiting gangs will take is not there for arrays, also while it boots.
+    // Cores that a waiting gang will take are not available to arrays, even while the machine still boots.
     gang_claimed_cores_ += (on_full + on_last) * spec.cpus;
     ForecastGroup rest_of_last = group;
     rest_of_last.count = 1;
@@ -200,14 +203,16 @@
   }
 }
 
-// Machines for the gangs that will arrive while one boots: as many free ones are kept ready or on their way.
+// Plans spare machines for the gangs that are expected to arrive while a machine boots. Free machines that
+// are up, booting or requested count as spare.
 void ScaleOut::plan_spare_machines(Plan& plan) const {
   const JobSpec* typical = scheduler_.typical_gang();
   if (typical == nullptr) return;
   int ready = 0;
   for (const auto& group : plan.fleet)
     if (allows(*typical, group.pool) && group.free.fits(*typical)) ready += group.count;
-  // Only as many as are nearly sure to be used: with few arrivals their number scatters too much.
+  // One standard deviation is subtracted from the mean, so that the spare machines are nearly sure to be
+  // used. With few arrivals, their number varies too much to keep any.
   const double mean = spare_gang_machines(context_, scheduler_);
   const int wanted = static_cast<int>(std::floor(mean - std::sqrt(mean)));
   for (int left = wanted - ready; left > 0; --left) {
@@ -219,7 +224,8 @@
 
 // ---------------------------------------------------------------- arrays
 
-// The array with most unplaced work decides which machines suit; with all placed, the one with most left.
+// The array whose needs decide which pool suits: the one with the most unplaced work or, if all work is
+// placed, with the most remaining work.
 const Job* ScaleOut::typical_array() const {
   const Job* typical = nullptr;
   const auto weight = [](const Job& job) {
@@ -239,13 +245,14 @@
   if (!first) return;
   const MachineType& offered = context_.types.at(first->type);
   const double offered_price = first->spot ? offered.spot_price : offered.price;
-  // Capacity that costs far more than what is to be had does not count: the cheaper is provisioned, and then
-  // the dearer is drained. Waiting gangs take the dear capacity first, as far as it goes.
+  // Capacity that costs far more than the offered machines does not count, so that cheaper machines are
+  // provisioned before the expensive ones are drained. Waiting gangs are taken to use the expensive capacity
+  // first, so the larger of the two amounts is subtracted and not their sum.
   const double overpriced = overpriced_cores(offered_price / offered.cpus * c::kOverpricedRatio);
   const double have = array_capacity_cores_ - std::max(overpriced, gang_claimed_cores_);
   if (needed_cores_ <= have) return;
-  // A machine that is provisioned now helps only with what is left once it is up, and has to find work for at
-  // least as long as it booted. The load of steady arrivals will be there then; a backlog may be gone.
+  // A machine provisioned now can only do work that is left once it is up, and must then find work for at
+  // least as long as it booted. Steady arrivals will still supply work by then, but a backlog may be done.
   const double boot_s = std::max(1.0, offered.boot_s);
   const double backlog_after_boot = backlog_core_s() - have * boot_s;
   const double for_backlog = std::min(needed_cores_ - have, backlog_after_boot / (boot_s * c::kWorthBoots));
@@ -254,19 +261,19 @@
     const auto pool = cheapest_pool(typical->spec, plan.missing, "");
     if (!pool) return;
     const double cores = context_.types.at(pool->type).cpus;
-    if (left < cores / 2 && have > 0) return;  // less than half a machine waits for capacity
+    if (left < cores / 2 && have > 0) return;  // a shortage below half a machine is left to wait
     ++plan.missing[*pool];
     left -= cores;
   }
 }
 
-// The rate, in cores, at which the array's work has to be done to be in time.
+// Cores that the array needs in order to finish in time.
 double ScaleOut::cores_to_finish_in_time(const Job& job, double boot_s) const {
   const double run_s = std::max(1.0, scheduler_.run_times().expected(job));
-  // The last task should begin a run before the end, so the work has to be under way in what is left. What
-  // has no capacity yet has to be under way in what is left once a machine provisioned for it is up. Work
-  // that can't be in time any more has no end to meet: it takes what capacity there is, at the pace of its
-  // lateness so far.
+  // The last task should start one run time before the due time, so all tasks must be started in the window
+  // before that. For tasks that have no capacity yet, the window begins only when a machine provisioned for
+  // them is up, and ends kLastTasksRuns run times before the due time. Work that can no longer finish in time
+  // is spread over kLateWindowRuns run times.
   const auto pace = [&](double cores, double left_s, double runs_before) {
     const double window_s =
         left_s > run_s ? std::max(run_s, left_s - runs_before * run_s) : c::kLateWindowRuns * run_s;
@@ -275,8 +282,8 @@
   const double left_s = scheduler_.time_left(job);
   const double waiting = pace(job.unplaced() * job.spec.cpus, left_s - boot_s, c::kLastTasksRuns);
   const double spread = std::max(pace(job.remaining() * job.spec.cpus, left_s, 1), waiting);
-  // Where all the time allowed is hardly longer than a boot, capacity that is in use now will be wanted
-  // again before a new machine would be up: it counts in full.
+  // If the whole time allowed for the job is hardly longer than a boot, capacity that it uses now will be
+  // needed again before a new machine could be up. The cores in use then count in full.
   const double age_s = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
   const double allowed_s = std::max(1.0, left_s + std::max(0.0, age_s));
   const double tight_share = std::min(1.0, c::kTightBoots * boot_s / allowed_s);
@@ -296,7 +303,7 @@
   return needed;
 }
 
-// Core seconds of array work that is accepted and not done.
+// Core seconds of accepted array work that is not done. Half of each placed task counts as done.
 double ScaleOut::backlog_core_s() const {
   double work = 0;
   for (const auto& [id, job] : context_.jobs.all()) {
@@ -307,8 +314,8 @@
   return work;
 }
 
-// Array capacity on machines without a gang that cost more a core than the limit. Beside a gang it costs
-// nothing more.
+// Cores for arrays on machines without a gang whose price per core exceeds the limit. Machines with a gang
+// are left out, since they are paid for anyway and arrays beside the gang cost nothing more.
 double ScaleOut::overpriced_cores(double price_per_core_limit) const {
   double cores = 0;
   for (const auto& [name, machine] : context_.machines.all())
@@ -320,9 +327,9 @@
 
 // ---------------------------------------------------------------- pools
 
-// The cheapest pool for tasks like these, price for each task that fits. Unresponsive zones come last: what
-// boots there can't reach this leader. At equal prices the zone with fewest machines, so that the loss of one
-// zone does not take all.
+// The pool with the lowest price per task that fits on a machine. Unresponsive zones rank last, since
+// machines that boot there can't reach this leader. At equal prices, the zone with the fewest machines is
+// chosen, so that the loss of one zone does not take all machines.
 std::optional<CapacityPool> ScaleOut::cheapest_pool(const JobSpec& spec, const PoolCounts& missing,
                                                     const std::string& only_zone) const {
   std::optional<CapacityPool> best;
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many machines of which pool are missing for the work that waits and the work that is expected.
+/// Computes how many machines of each pool to add for waiting and expected work.
 #pragma once
 
 #include <cstdint>
@@ -19,33 +19,34 @@
 /// Machines to provision, by pool.
 using PoolCounts = std::map<CapacityPool, int>;
 
-/// Plans scale-out, once for each review of the fleet. It asks nothing of the cloud and changes no machine.
+/// Plans scale-out once per review of the fleet. It makes no cloud calls and changes no machine.
 ///
-/// Gangs are bin-packed into the free capacity that is there, booting or requested; what does not fit is
-/// missing. Arrays need a rate of work: the cores with which all of them are in time, team by team up to its
-/// limit. That need rises at once and falls slowly, since a short lull must not cost boots.
+/// Gangs are bin-packed into the free capacity of machines that are up, booting or requested; machines are
+/// missing for the tasks that do not fit. The need of arrays is a number of cores: enough for all of them to
+/// finish in time, capped at each team's limit. It rises at once and falls slowly, so that a short lull does
+/// not return machines that would soon have to boot again.
 class ScaleOut {
  public:
-  /// The arguments have to outlive it.
+  /// The arguments must outlive this object.
   ScaleOut(ControllerContext& context, const Scheduler& scheduler, const CloudClient& cloud,
            const ZoneHealth& zones);
 
-  /// What is missing now.
+  /// Computes the machines to provision now.
   PoolCounts plan();
   /// Cores that arrays need, as of the last plan.
   double array_cores_needed() const { return needed_cores_; }
-  /// A line for the debug log with the figures of the last plan.
+  /// Logs the figures of the last plan at debug level.
   void log_figures() const;
 
  private:
-  /// Machines alike in pool and free capacity, there or coming: counted together, so that thousands cost no
-  /// more than a few.
+  /// Machines that are up or expected, with equal pool and free capacity. They are counted as a group, so
+  /// that the cost of planning does not grow with the number of machines.
   struct ForecastGroup {
     CapacityPool pool;
     Resources free;
     int count = 0;
   };
-  /// The forecast of one plan, and what it lacks.
+  /// The forecast fleet of one plan, and the machines missing from it.
   struct Plan {
     std::vector<ForecastGroup> fleet;
     PoolCounts missing;
@@ -81,8 +82,8 @@
   const ZoneHealth& zones_;
   double needed_cores_ = 0;
   double needed_updated_at_ = 0;     ///< steady time of the last update; 0: none yet
-  double array_capacity_cores_ = 0;  ///< cores for arrays, there or coming, as of the last plan
-  double gang_claimed_cores_ = 0;    ///< of them, what waiting gangs will take
+  double array_capacity_cores_ = 0;  ///< cores for arrays on machines up or expected, as of the last plan
+  double gang_claimed_cores_ = 0;    ///< the part of them that waiting gangs will take
   std::map<std::string, int> machines_by_zone_;
 };
 
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -35,7 +35,8 @@
   }
   for (const auto& [zone, count] : zones) {
     if (count.silent >= c::kZoneOutLeast && count.silent > count.responsive) {
-      if (!unresponsive(zone)) spdlog::info("zone {} is unresponsive: provisioned in last", zone);
+      if (!unresponsive(zone))
+        spdlog::info("zone {} is unresponsive: machines are provisioned in other zones first", zone);
       last_unresponsive_at_[zone] = now;
     } else if (count.responsive > 0 && last_unresponsive_at_.erase(zone) > 0) {
       spdlog::info("zone {} responds again", zone);
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which zones are cut off from this leader.
+/// Detects zones that are cut off from this leader.
 #pragma once
 
 #include <map>
@@ -9,21 +9,22 @@
 
 namespace robinford::coordination {
 
-/// Judges zones by the heartbeats of their machines. A zone is unresponsive when most of its machines that
-/// should send heartbeats do not; it stays so until one of them does, or for `kZoneOutS` after the last of
-/// them was given up. When hardly anything arrives from any zone, the fault is on this side and no zone
-/// counts.
+/// Judges zones by the heartbeats of their machines. A zone becomes unresponsive when most of its machines
+/// that should send heartbeats do not. This verdict ends when one of its machines responds and too few are
+/// silent to confirm it, or `kZoneOutS` after it was last confirmed, for example because the silent machines
+/// were given up. When most machines of all zones are silent, the fault is taken to be on this controller's
+/// side, and no zone counts as unresponsive.
 class ZoneHealth {
  public:
-  /// `context` has to outlive it.
+  /// `context` must outlive this object.
   explicit ZoneHealth(ControllerContext& context) : context_(context) {}
 
-  /// Forgets all verdicts, for a new term.
+  /// Marks all zones as responsive, for a new term.
   void clear() { last_unresponsive_at_.clear(); }
-  /// Looks at all machines. `serving_since_s`: steady time since which this leader serves; before it, nobody
-  /// could send it heartbeats.
+  /// Judges all zones by the machines in the ledger. `serving_since_s`: steady time at which this leader
+  /// began to serve; the time before it does not count as silence.
   void update(double serving_since_s);
-  /// The last update found the zone unresponsive.
+  /// Whether the zone was unresponsive at the last update.
   bool unresponsive(const std::string& zone) const { return last_unresponsive_at_.contains(zone); }
 
  private:
@@ -34,7 +35,7 @@
   bool is_silent(const bookkeeping::Machine& machine, double serving_since_s) const;
 
   ControllerContext& context_;
-  std::map<std::string, double> last_unresponsive_at_;  ///< zone -> steady time when that was last seen
+  std::map<std::string, double> last_unresponsive_at_;  ///< by zone, steady time
 };
 
 }  // namespace robinford::coordination
