--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 void Scheduler::direct_answer(std::uint64_t id, int status, const Heartbeat* heartbeat) {
-  const auto open = direct_.close(id);
+  const auto open = direct_commands_.close(id);
   if (!open) return;
   Machine* machine = context_.machines.find(open->machine);
   if (machine == nullptr || machine->state == MachineState::kGone || phase_ == LeaderPhase::kNone ||
@@ -50,11 +50,11 @@
   if (counters_went_back) return return_reset_machine(*machine);
   if (heartbeat->fencing_token == election_.term()) return direct_command_answered(*machine, *heartbeat);
   // It refused because its agent epoch was not the one that we guessed, and so did not learn our token.
-  if (status == kRefused && heartbeat->agent_epoch != open->agent_epoch) direct_.probe(*machine);
+  if (status == kRefused && heartbeat->agent_epoch != open->agent_epoch) direct_commands_.probe(*machine);
 }
 
 void Scheduler::direct_command_failed(Machine& machine) {
-  if (direct_.record_failure(machine) == DirectCommands::Reachability::kUnreachable)
+  if (direct_commands_.record_failure(machine) == DirectCommands::Reachability::kUnreachable)
     cordon(machine, "unreachable: its heartbeats arrive, answers and commands do not");
   // A gang must not wait for the capacity of a machine that does not answer.
   const double avoid_until =
@@ -116,14 +116,14 @@
     launched(machine, *job, run, LaunchPath::kDirectCommand);
     machine.direct.insert({id, run.attempt});
   }
-  if (!commands.empty()) direct_.send(machine, std::move(commands));
+  if (!commands.empty()) direct_commands_.send(machine, std::move(commands));
 }
 
 // Stops also go straight to the machines: a late one does no harm, since attempts are never used twice.
 void Scheduler::send_stops() {
   if (!election_.owns_fencing_token()) return;
   const double now = context_.now.steady;
-  for (auto it = stopping_.begin(); it != stopping_.end();) {
+  for (auto it = machines_with_pending_stops_.begin(); it != machines_with_pending_stops_.end();) {
     Machine* machine = context_.machines.find(*it);
     bool any = false;
     std::vector<Command> commands;
@@ -135,14 +135,14 @@
         if (run.state != RunState::kStopping) continue;
         any = true;
         if (now - run.last_stop < c::kStopAgainS || commands.size() >= c::kCommandsMax ||
-            machine->open_probes >= c::kOpenMost || !direct_.can_send())
+            machine->open_probes >= c::kOpenMost || !direct_commands_.can_send())
           continue;
         run.last_stop = now;
         commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
       }
     }
-    it = any ? std::next(it) : stopping_.erase(it);
-    if (!commands.empty() && machine->saw_term) direct_.send(*machine, std::move(commands));
+    it = any ? std::next(it) : machines_with_pending_stops_.erase(it);
+    if (!commands.empty() && machine->saw_term) direct_commands_.send(*machine, std::move(commands));
   }
 }
 
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -305,7 +305,7 @@
       if (job->gang == GangState::kReserving)
         JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
     }
-  round_wanted_ = true;
+  round_requested_ = true;
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -39,8 +39,9 @@
 void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
   if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
-    if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
-    early_.push_back({key, heartbeat});
+    if (early_heartbeats_.size() >= context_.per_machine(c::kEarlyPerMb))
+      return actions_.answer(key, 503, {});
+    early_heartbeats_.push_back({key, heartbeat});
     return;
   }
   Machine* machine = context_.machines.find(heartbeat.machine);
@@ -150,7 +151,7 @@
   if (machine.state == MachineState::kBooting || machine.state == MachineState::kUnresponsive)
     MachineLedger::set_state(machine, MachineState::kUp);
   if (!machine.tasks.empty() || !machine.reservations.empty()) machine.idle_since = now;
-  round_wanted_ = true;
+  round_requested_ = true;
 }
 
 // The heartbeat is the evidence that reservations wait for: the capacity is still free.
@@ -174,8 +175,8 @@
   context_.metrics.count(direct ? "launches_direct" : "launches");
   if (first_launch_seen_) return;
   first_launch_seen_ = true;
-  context_.metrics.record(Metrics::Spread::kFailover, context_.now.steady - began_);
-  spdlog::info("first launch {:.2f} s into term {}", context_.now.steady - began_, election_.term());
+  context_.metrics.record(Metrics::Spread::kFailover, context_.now.steady - term_began_at_);
+  spdlog::info("first launch {:.2f} s into term {}", context_.now.steady - term_began_at_, election_.term());
 }
 
 std::vector<Command> Scheduler::commands_for(Machine& machine) {
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -116,22 +116,22 @@
   // A read that is open may have been answered before the write that this call is about: then once more after
   // it. Otherwise a cancellation that was announced while the read of the admission was open would be
   // overlooked, and its job would go on as pending.
-  if (const auto open = reading_.find(id); open != reading_.end()) {
+  if (const auto open = open_job_reads_.find(id); open != open_job_reads_.end()) {
     open->second = OpenRead::kReadAgain;
     return;
   }
-  reading_.emplace(id, OpenRead::kOnce);
+  open_job_reads_.emplace(id, OpenRead::kOnce);
   context_.state.read(JobLedger::live_key(id), [this, id, generation = generation_](const StateRead& read) {
     if (generation == generation_) live_record_read(id, read);
   });
 }
 
 void Scheduler::live_record_read(JobId id, const StateRead& read) {
-  const OpenRead kind = reading_.at(id);
-  reading_.erase(id);
+  const OpenRead kind = open_job_reads_.at(id);
+  open_job_reads_.erase(id);
   if (kind == OpenRead::kReadAgain) return read_job(id);
   if (read.found == StateRead::Found::kUnknown) {
-    reread_.insert(id);  // not at once: an outage may be the reason
+    jobs_to_reread_.insert(id);  // not at once: an outage may be the reason
     return;
   }
   Job* job = context_.jobs.find(id);
@@ -179,7 +179,7 @@
     Job* job = context_.jobs.find(id);
     if (job == nullptr) return;
     if (read.found != StateRead::Found::kYes) {
-      reread_.insert(id);
+      jobs_to_reread_.insert(id);
       return;
     }
     const auto state = JobLedger::final_from_record(read.value);
@@ -214,7 +214,7 @@
     if (const auto& run = job.runs.at(index);
         state == FinalState::kCancelled && run.state != RunState::kPlanned)
       if (Machine* machine = context_.machines.find(run.machine))
-        cancelled_work_.expect_gone(*machine, job, began_);
+        cancelled_work_.expect_gone(*machine, job, term_began_at_);
     stop_run(job, index, 0);
   }
   send_stops();
@@ -230,7 +230,7 @@
     dependencies_.watch(job);
   else
     arrived(job);
-  round_wanted_ = true;
+  round_requested_ = true;
   queue_order_.mark_changed();
 }
 
@@ -242,7 +242,7 @@
   job.ready_on_record = false;
   job.known_at = context_.now.steady;
   context_.metrics.count("jobs_released");
-  round_wanted_ = true;
+  round_requested_ = true;
   queue_order_.mark_changed();
   if (phase_ != LeaderPhase::kLoading) arrived(job);
 }
@@ -291,7 +291,7 @@
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
 // what is cancelled stays for a next leader while a machine may still hold it.
 void Scheduler::sweep_jobs() {
-  for (const auto id : std::exchange(reread_, {})) read_job(id);
+  for (const auto id : std::exchange(jobs_to_reread_, {})) read_job(id);
   std::vector<JobId> gone;
   for (auto& [id, job] : context_.jobs.all()) {
     push_final(*job);
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -59,7 +59,7 @@
 
 void Scheduler::probe_if_suspect(Machine& machine) {
   if (machine.open_probes > 0 || context_.now.steady - machine.last_probe_at < c::kSuspectProbeEveryS) return;
-  direct_.probe(machine);
+  direct_commands_.probe(machine);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -28,7 +28,7 @@
   // An agent epoch without an answered heartbeat has its lease from its beginning. A machine that reached no
   // controller, and was given work by direct commands, was once taken for free of it while its newest agent
   // epoch still ran.
-  double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
+  double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, term_began_at_});
   if (!machine.saw_term) last = std::max(last, election_.former_leaders_stopped_at());
   return last;
 }
@@ -47,7 +47,7 @@
 
 bool Scheduler::give_up(const Machine& machine) const {
   if (machine.state != MachineState::kUnresponsive) return false;
-  const double unresponsive_since = std::max(machine.last_heartbeat, began_);
+  const double unresponsive_since = std::max(machine.last_heartbeat, term_began_at_);
   return context_.now.steady - unresponsive_since >
          std::max(c::kUnresponsiveMinS, c::kUnresponsiveHeartbeats * context_.settings.heartbeat_interval_s);
 }
@@ -56,7 +56,7 @@
   const double patience = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
   const bool present = machine.state == MachineState::kUp || machine.state == MachineState::kBooting;
-  const double silent_since = std::max(machine.last_heartbeat, began_);
+  const double silent_since = std::max(machine.last_heartbeat, term_began_at_);
   if (!present || !expected || context_.now.steady - silent_since <= 2 * patience) return;
   MachineLedger::set_state(machine, MachineState::kUnresponsive);
   requeue_reserving_gangs(machine);
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -21,30 +21,30 @@
 void Scheduler::begin() {
   ++generation_;
   machine_records_.reset();
-  began_ = context_.now.steady;
+  term_began_at_ = context_.now.steady;
   first_launch_seen_ = false;
   attempt_counter_ = 0;
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
-  early_.clear();
+  early_heartbeats_.clear();
   waiting_gangs_.clear();
-  reading_.clear();
-  reread_.clear();
+  open_job_reads_.clear();
+  jobs_to_reread_.clear();
   cancelled_work_.clear();
   dependencies_.clear();
   loading_dependencies_ = false;
   queue_order_.clear();
-  stopping_.clear();
+  machines_with_pending_stops_.clear();
   placements_.clear();
   unreconciled_.clear();
-  direct_.clear();
-  gang_kept_.clear();
-  survey_.expire();
-  round_wanted_ = true;
-  next_watch_ = 0;
-  next_sweep_ = 0;
-  next_tiers_ = 0;
+  direct_commands_.clear();
+  withheld_quota_cpus_.clear();
+  capacity_survey_.expire();
+  round_requested_ = true;
+  next_machine_watch_ = 0;
+  next_job_sweep_ = 0;
+  next_tier_update_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
                             [this] { election_.guard_lost(); });
   set_phase(LeaderPhase::kLoading);
@@ -56,11 +56,11 @@
   machine_records_.reset();
   change_log_.end();
   context_.writer.clear_guard();
-  for (const auto& waiting : early_) actions_.answer(waiting.key, 421, {});
-  early_.clear();
+  for (const auto& waiting : early_heartbeats_) actions_.answer(waiting.key, 421, {});
+  early_heartbeats_.clear();
   waiting_gangs_.clear();
   queue_order_.clear();
-  direct_.clear();
+  direct_commands_.clear();
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
@@ -171,7 +171,7 @@
   spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
                context_.machines.all().size());
   set_phase(LeaderPhase::kReconciling);
-  const auto early = std::exchange(early_, {});
+  const auto early = std::exchange(early_heartbeats_, {});
   for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
@@ -183,7 +183,7 @@
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
     unreconciled_.add(machine);
-    if (!machine.addr.empty()) direct_.plan_probe(name);
+    if (!machine.addr.empty()) direct_commands_.plan_probe(name);
   }
 }
 
@@ -208,7 +208,7 @@
     for (auto& [name, machine] : context_.machines.all())
       if ((machine.unreconciled || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
-        cancelled_work_.expect_gone(machine, *job, began_);
+        cancelled_work_.expect_gone(machine, *job, term_began_at_);
   }
 }
 
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -33,8 +33,9 @@
     return false;
   if (const auto avoided = job.avoid.find(machine.name); avoided != job.avoid.end() && now < avoided->second)
     return false;
-  const auto kept = gang_kept_.find(job.spec.team);
-  if (!context_.quota.allows(job.spec, 1, kept == gang_kept_.end() ? 0 : kept->second)) return false;
+  const auto kept = withheld_quota_cpus_.find(job.spec.team);
+  if (!context_.quota.allows(job.spec, 1, kept == withheld_quota_cpus_.end() ? 0 : kept->second))
+    return false;
   // A job that failed on several machines is tried with a single task until one succeeds. One that goes
   // before the others by its age begins with a single task, too: the rest keeps its place in the order of due
   // times. Whole arrays let through by age made others late that were in time.
@@ -70,11 +71,11 @@
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
   if ((queue_order_.changed() || placements_.array_unqueued()) && queue_order_.sort_due()) sort_queues();
   if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
-  survey_.refresh_if_due(queue_order_.queues());
+  capacity_survey_.refresh_if_due(queue_order_.queues());
   // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
   // once.
   if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return false;
-  return !survey_.arrays_fit_better_machines(machine);
+  return !capacity_survey_.arrays_fit_better_machines(machine);
 }
 
 // Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
@@ -95,7 +96,7 @@
     Job& job = best->job();
     plan(job, *job.next_task(), machine, next_attempt());
     free.take(job.spec);
-    survey_.array_task_placed(job.spec);
+    capacity_survey_.array_task_placed(job.spec);
     ++placed;
     // The capacity is smaller now, and the team's share larger.
     const auto placed_turn = static_cast<std::size_t>(best - turns.begin());
@@ -111,10 +112,11 @@
 // With long heartbeat intervals new work would wait for most of one: the leader launches it by direct
 // commands on machines with free capacity.
 void Scheduler::fill_idle() {
-  if (!direct_.launches_directly() || queue_order_.queues().empty() || survey_.array_demand_cpus() <= 0)
+  if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
+      capacity_survey_.array_demand_cpus() <= 0)
     return;
   for (auto& [name, machine] : context_.machines.all()) {
-    if (!direct_.can_send() || !direct_.within_budget()) return;
+    if (!direct_commands_.can_send() || !direct_commands_.within_budget()) return;
     if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
         machine.direct.size() >= c::kDirectListMax)
       continue;
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -22,8 +22,8 @@
 
 // Whether anything changed since the last round that may let a gang start.
 bool Scheduler::take_round_due() {
-  const bool due = round_wanted_ || placements_.capacity_freed() || machine_records_.written();
-  round_wanted_ = false;
+  const bool due = round_requested_ || placements_.capacity_freed() || machine_records_.written();
+  round_requested_ = false;
   placements_.clear_capacity_freed();
   machine_records_.clear_written();
   return due;
@@ -34,13 +34,13 @@
   if (!may_place() || now - last_round_ < c::kRoundEveryS) return;
   if (!take_round_due()) return;
   last_round_ = now;
-  claimed_.clear();
+  claimed_machines_.clear();
   context_.metrics.count("rounds");
   unreconciled_.charge_quota_if_changed();
   check_gangs();
   update_tiers();
   if (queue_order_.sort_due()) sort_queues();
-  survey_.refresh_if_due(queue_order_.queues());
+  capacity_survey_.refresh_if_due(queue_order_.queues());
   place_waiting_gangs();
   keep_limits_for_waiting_gangs();
   fill_idle();
@@ -133,7 +133,8 @@
   if (now - job.known_at > c::kClaimAfterS && round.claims < c::kClaimsMost) {
     ++round.claims;
     claim_machines(job);
-    std::erase_if(round.open, [&](const Offer& offer) { return claimed_.contains(offer.machine->name); });
+    std::erase_if(round.open,
+                  [&](const Offer& offer) { return claimed_machines_.contains(offer.machine->name); });
   }
   return false;
 }
@@ -141,7 +142,7 @@
 // What waiting gangs need of their teams' limits is not for arrays to take, also while it is still being
 // freed: otherwise arrays take it back task by task and the gang never gets the whole.
 void Scheduler::keep_limits_for_waiting_gangs() {
-  gang_kept_.clear();
+  withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
   for (const auto& [id, job] : context_.jobs.all())
     if (job->spec.gang)
@@ -152,7 +153,7 @@
     if (static_cast<int>(gang->failed_on.size()) >= c::kJobSuspectMachines || team == nullptr) continue;
     if (used + gang->spec.cpus * gang->spec.tasks > team->cpus_max) continue;
     used += gang->spec.cpus * gang->spec.tasks;
-    gang_kept_[gang->spec.team] += gang->spec.cpus * gang->spec.tasks;
+    withheld_quota_cpus_[gang->spec.team] += gang->spec.cpus * gang->spec.tasks;
   }
 }
 
@@ -167,7 +168,7 @@
     const auto avoided = job.avoid.find(machine.name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
     if (machine.reserved_by && *machine.reserved_by != job.spec.id && now < machine.reserved_until) continue;
-    if (claimed_.contains(machine.name)) continue;
+    if (claimed_machines_.contains(machine.name)) continue;
     // An earlier attempt of this gang stays listed there: a new one might be refused.
     const bool earlier_attempt =
         std::any_of(machine.direct.begin(), machine.direct.end(),
@@ -199,7 +200,7 @@
     for (std::uint32_t i = 0; i < assignment.tasks; ++i) placements_.add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
     // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
-    if (direct_.launches_directly() && direct_.can_send()) direct_.probe(machine);
+    if (direct_commands_.launches_directly() && direct_commands_.can_send()) direct_commands_.probe(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
   JobLedger::set_gang(job, GangState::kReserving, context_.now.steady);
@@ -214,7 +215,7 @@
   for (auto& [name, machine] : context_.machines.all()) {
     if (left == 0) return;
     if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot) ||
-        claimed_.contains(name))
+        claimed_machines_.contains(name))
       continue;
     Resources free = free_resources(context_, machine);
     for (const auto& id : machine.tasks) {
@@ -223,7 +224,7 @@
     }
     const auto slots = std::min(left, free.tasks_of(job.spec));
     if (slots == 0) continue;
-    claimed_.insert(name);
+    claimed_machines_.insert(name);
     left -= slots;
   }
 }
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -79,9 +79,9 @@
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
     plan(job, i, *context_.machines.find(places[i]), job.attempt);
   JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
-  if (!direct_.launches_directly()) return;
+  if (!direct_commands_.launches_directly()) return;
   for (const auto& name : std::set<std::string>(places.begin(), places.end()))
-    if (direct_.can_send()) launch_directly(*context_.machines.find(name));
+    if (direct_commands_.can_send()) launch_directly(*context_.machines.find(name));
 }
 
 void Scheduler::stop_run(Job& job, std::uint32_t index, double grace) {
@@ -93,8 +93,8 @@
   }
   found->second.stop_grace = grace;
   JobLedger::set_run(job, found->second, RunState::kStopping);
-  stopping_.insert(found->second.machine);
-  round_wanted_ = true;
+  machines_with_pending_stops_.insert(found->second.machine);
+  round_requested_ = true;
 }
 
 void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -141,7 +141,7 @@
       continue;
     const auto avoided = job.avoid.find(name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
-    if ((machine.reserved_by && now < machine.reserved_until) || claimed_.contains(name)) continue;
+    if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
     const Resources& free = free_resources(context_, machine);
     if (free.fits(job.spec))
       free_slots += std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -49,17 +49,17 @@
            [this](protocol::JobId id) { read_job(id); }}),
       arrivals_(context, run_times_),
       queue_order_(context, run_times_),
-      survey_(context, arrivals_),
+      capacity_survey_(context, arrivals_),
       placements_(context),
       unreconciled_(context),
-      direct_(context, election, actions_.direct),
+      direct_commands_(context, election, actions_.direct),
       machine_records_(context, election, versions),
       cancelled_work_(context) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
   spdlog::info("leader phase: {} -> {} ({:.2f} s into term {})", to_text(phase_), to_text(phase),
-               context_.now.steady - began_, election_.term());
+               context_.now.steady - term_began_at_, election_.term());
   phase_ = phase;
   if (phase == LeaderPhase::kServing) serving_since_ = context_.now.steady;
 }
@@ -79,7 +79,7 @@
 // The machine has proved what is on it, or that nothing of an earlier leader can be.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
-    round_wanted_ = true;
+    round_requested_ = true;
     queue_order_.mark_changed();
   }
 }
@@ -90,18 +90,18 @@
 }
 
 void Scheduler::update_tiers() {
-  if (context_.now.steady < next_tiers_) return;
-  next_tiers_ = context_.now.steady + c::kTiersEveryS;
+  if (context_.now.steady < next_tier_update_) return;
+  next_tier_update_ = context_.now.steady + c::kTiersEveryS;
   dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
-  assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
+  assign_array_tiers(context_, run_times_, queue_order_, capacity_survey_.supply_cpus());
 }
 
 // ---------------------------------------------------------------- time
 
 // One line whenever the reason changes for which a job with nothing placed waits.
 void Scheduler::log_wait_reasons() {
-  if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_log_) return;
-  next_log_ = context_.now.steady + c::kLogWaitsEveryS;
+  if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_wait_log_) return;
+  next_wait_log_ = context_.now.steady + c::kLogWaitsEveryS;
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kActive || !job->runs.empty() || !job->reservations.empty()) continue;
     const char* why = why_waiting(*job);
@@ -120,30 +120,31 @@
     if (!dependencies_.release_decided()) return;
     loaded();
   }
-  direct_.refill_budget();
+  direct_commands_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
-    round_wanted_ = true;
+    round_requested_ = true;
   }
-  if (now >= next_watch_) {
-    next_watch_ = now + c::kWatchEveryS;
+  if (now >= next_machine_watch_) {
+    next_machine_watch_ = now + c::kWatchEveryS;
     watch_machines();
   }
   send_stops();
   if (!election_.valid()) return;
   change_log_.tick();
   dependencies_.tick();
-  direct_.send_planned_probes();
+  direct_commands_.send_planned_probes();
   machine_records_.write_due();
-  if (now >= next_sweep_) {
-    next_sweep_ = now + c::kSweepEveryS;
+  if (now >= next_job_sweep_) {
+    next_job_sweep_ = now + c::kSweepEveryS;
     unreconciled_.charge_quota_if_changed();
     sweep_jobs();
     change_log_.delete_uncollected();
   }
   if (phase_ == LeaderPhase::kServing) {
     // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
-    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) round_wanted_ = true;
+    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2))
+      round_requested_ = true;
     round();
     log_wait_reasons();
   }
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -274,15 +274,15 @@
   Dependencies dependencies_;
   LeaderPhase phase_ = LeaderPhase::kNone;
   std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
-  double began_ = 0;              // this term
+  double term_began_at_ = 0;      // this term
   double serving_since_ = 0;
   double reconcile_until_ = 0;
   double next_reconcile_check_ = 0;
   double last_round_ = 0;
-  double next_watch_ = 0;
-  double next_sweep_ = 0;
-  double next_log_ = 0;
-  bool round_wanted_ = false;          // something changed that may let a gang start
+  double next_machine_watch_ = 0;
+  double next_job_sweep_ = 0;
+  double next_wait_log_ = 0;
+  bool round_requested_ = false;       // something changed that may let a gang start
   bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
   bool first_launch_seen_ = false;
   std::uint64_t attempt_counter_ = 0;
@@ -290,25 +290,26 @@
     std::uint64_t key;  // to answer it by
     protocol::Heartbeat heartbeat;
   };
-  std::vector<EarlyHeartbeat> early_;  // that came while the ledger was loading
+  std::vector<EarlyHeartbeat> early_heartbeats_;  // that came while the ledger was loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
   QueueOrder queue_order_;
-  CapacitySurvey survey_;
+  CapacitySurvey capacity_survey_;
   Placements placements_;
   UnreconciledMachines unreconciled_;
-  DirectCommands direct_;
+  DirectCommands direct_commands_;
   MachineRecordWriter machine_records_;
   CancelledWork cancelled_work_;
-  std::set<protocol::JobId> reread_;  // a read of theirs went unanswered
+  std::set<protocol::JobId> jobs_to_reread_;  // a read of theirs went unanswered
   enum class OpenRead : std::uint8_t { kOnce, kReadAgain };
-  std::map<protocol::JobId, OpenRead> reading_;  // reads of live records that are open
-  std::set<std::string> claimed_;                // machines kept for a gang in the present round
-  double next_tiers_ = 0;
+  std::map<protocol::JobId, OpenRead> open_job_reads_;  // reads of live records that are open
+  std::set<std::string> claimed_machines_;              // machines kept for a gang in the present round
+  double next_tier_update_ = 0;
   // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> stopping_;           // machines with tasks that are to stop
-  std::map<std::string, double> gang_kept_;  // cpus of the teams' limits that waiting gangs will need
+  std::set<std::string> machines_with_pending_stops_;  // machines with tasks that are to stop
+  std::map<std::string, double>
+      withheld_quota_cpus_;  // cpus of the teams' limits that waiting gangs will need
 };
 
 }  // namespace robinford::coordination
