--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -126,7 +126,7 @@
 // The list lags and may go back in time: it makes machines known, and neither frees nor ends anything.
 void CloudClient::apply_machine_list(const protocol::MachineList& list) {
   const double now = context_.now.steady;
-  if (list.machines.empty() && context_.machines.all().empty()) scheduler_.cloud_is_empty();
+  if (list.machines.empty() && context_.machines.all().empty()) scheduler_.on_cloud_empty();
   for (const auto& listed : list.machines) {
     Machine* machine = context_.machines.find(listed.name);
     if (machine == nullptr) {
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -97,7 +97,7 @@
   const auto holders = machine.reservations;  // a copy: launching changes the list
   for (const auto id : holders)
     if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
-      check_gang(*job);
+      advance_gang(*job);
 }
 
 void Scheduler::launch_directly(Machine& machine) {
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -247,7 +247,7 @@
     return;
   }
   if (job.gang != GangState::kStopping)
-    stop_gang(job, StopMode::kAtOnce, protocol::to_text(task.exit_reason));
+    stop_gang(job, StopMode::kImmediate, protocol::to_text(task.exit_reason));
 }
 
 void Scheduler::task_succeeded(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
@@ -288,7 +288,7 @@
   placements_.remove_run(job, index);
   if (job.over()) return;
   if (!job.spec.gang) return placements_.return_task(job, index);
-  if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kAtOnce, why);
+  if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kImmediate, why);
 }
 
 void Scheduler::lose_tasks(Machine& machine, const char* why) {
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -102,7 +102,7 @@
   if (may_place() && machine.state == MachineState::kUp) {
     // The heartbeat that confirms the last reservation of a gang carries the launch in its own answer.
     check_reserving_gangs(machine);
-    fill(machine);
+    place_arrays(machine);
   }
   answer_heartbeat(machine, key);
 }
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -15,7 +15,7 @@
 using bookkeeping::Machine;
 using bookkeeping::TaskRun;
 
-void Scheduler::plan(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
+void Scheduler::plan_run(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
   TaskRun run;
   run.machine = machine.name;
   run.attempt = attempt;
@@ -24,7 +24,7 @@
 }
 
 // Whether a task of the array may go to the machine now.
-bool Scheduler::array_fits(const Job& job, const Machine& machine, const Resources& free) {
+bool Scheduler::can_place_array_task(const Job& job, const Machine& machine, const Resources& free) {
   const double now = context_.now.steady;
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
     return false;
@@ -48,7 +48,7 @@
 }
 
 // The position in one team's queue while a machine is filled.
-struct Scheduler::ArrayTurn {
+struct Scheduler::QueueCursor {
   const std::vector<Job*>* queue;
   std::size_t position = 0;
   Rank rank;
@@ -56,9 +56,9 @@
 };
 
 // Moves on to the team's first job that may go to the machine; false when there is none.
-bool Scheduler::find_fitting_array(ArrayTurn& turn, const Machine& machine, const Resources& free) {
+bool Scheduler::advance_to_fitting_array(QueueCursor& turn, const Machine& machine, const Resources& free) {
   for (; turn.position < turn.queue->size(); ++turn.position) {
-    if (!array_fits(turn.job(), machine, free)) continue;
+    if (!can_place_array_task(turn.job(), machine, free)) continue;
     turn.rank = queue_order_.rank(turn.job(), 1);
     return true;
   }
@@ -80,21 +80,21 @@
 
 // Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
 // Returns the number of tasks placed.
-std::uint32_t Scheduler::fill(Machine& machine) {
+std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
   Resources free = free_resources(context_, machine);
-  std::vector<ArrayTurn> turns;
+  std::vector<QueueCursor> turns;
   for (const auto& [team, queue] : queue_order_.queues()) {
-    ArrayTurn turn{&queue, 0, {}};
-    if (find_fitting_array(turn, machine, free)) turns.push_back(turn);
+    QueueCursor turn{&queue, 0, {}};
+    if (advance_to_fitting_array(turn, machine, free)) turns.push_back(turn);
   }
   std::uint32_t placed = 0;
   while (!turns.empty()) {
     const auto best = std::min_element(
         turns.begin(), turns.end(),
-        [](const ArrayTurn& left, const ArrayTurn& right) { return left.rank < right.rank; });
+        [](const QueueCursor& left, const QueueCursor& right) { return left.rank < right.rank; });
     Job& job = best->job();
-    plan(job, *job.next_task(), machine, next_attempt());
+    plan_run(job, *job.next_task(), machine, next_attempt());
     free.take(job.spec);
     capacity_survey_.array_task_placed(job.spec);
     ++placed;
@@ -102,7 +102,7 @@
     const auto placed_turn = static_cast<std::size_t>(best - turns.begin());
     for (std::size_t i = turns.size(); i-- > 0;) {
       const bool still_fits = i != placed_turn && free.fits(turns[i].job().spec);
-      if (!still_fits && !find_fitting_array(turns[i], machine, free))
+      if (!still_fits && !advance_to_fitting_array(turns[i], machine, free))
         turns.erase(turns.begin() + static_cast<std::ptrdiff_t>(i));
     }
   }
@@ -111,7 +111,7 @@
 
 // With long heartbeat intervals new work would wait for most of one: the leader launches it by direct
 // commands on machines with free capacity.
-void Scheduler::fill_idle() {
+void Scheduler::place_arrays_directly() {
   if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
       capacity_survey_.array_demand_cpus() <= 0)
     return;
@@ -120,7 +120,7 @@
     if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
         machine.direct.size() >= c::kDirectListMax)
       continue;
-    if (fill(machine) > 0) launch_directly(machine);
+    if (place_arrays(machine) > 0) launch_directly(machine);
   }
 }
 
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -21,7 +21,7 @@
 using protocol::JobSpec;
 
 // Whether anything changed since the last round that may let a gang start.
-bool Scheduler::take_round_due() {
+bool Scheduler::take_round_request() {
   const bool due = round_requested_ || placements_.capacity_freed() || machine_records_.written();
   round_requested_ = false;
   placements_.clear_capacity_freed();
@@ -29,29 +29,29 @@
   return due;
 }
 
-void Scheduler::round() {
+void Scheduler::run_placement_round() {
   const double now = context_.now.steady;
   if (!may_place() || now - last_round_ < c::kRoundEveryS) return;
-  if (!take_round_due()) return;
+  if (!take_round_request()) return;
   last_round_ = now;
   claimed_machines_.clear();
   context_.metrics.count("rounds");
   unreconciled_.charge_quota_if_changed();
-  check_gangs();
+  advance_gangs();
   update_tiers();
   if (queue_order_.sort_due()) sort_queues();
   capacity_survey_.refresh_if_due(queue_order_.queues());
   place_waiting_gangs();
-  keep_limits_for_waiting_gangs();
-  fill_idle();
+  withhold_quota_for_waiting_gangs();
+  place_arrays_directly();
 }
 
 // Moves gangs on to their next state, and lists those that wait for capacity.
-void Scheduler::check_gangs() {
+void Scheduler::advance_gangs() {
   waiting_gangs_.clear();
   for (auto& [id, job] : context_.jobs.all()) {
     if (!job->spec.gang || job->state != JobState::kActive) continue;
-    if (job->gang != GangState::kRunning) check_gang(*job);
+    if (job->gang != GangState::kRunning) advance_gang(*job);
     if (job->gang == GangState::kQueued) waiting_gangs_.push_back(job.get());
   }
 }
@@ -106,7 +106,7 @@
       free_quota_for(job);
       continue;
     }
-    if (!try_gang(job, round)) continue;
+    if (!try_place_gang(job, round)) continue;
     std::erase(waiting_gangs_, &job);
     for (auto& other : queue)
       if (other.job->spec.team == job.spec.team)
@@ -116,13 +116,13 @@
 }
 
 // Places the gang, or else begins to make capacity for it. Returns whether it was placed.
-bool Scheduler::try_gang(Job& job, GangRound& round) {
+bool Scheduler::try_place_gang(Job& job, GangRound& round) {
   const double now = context_.now.steady;
   const bool hopeless = job.avoid.empty() &&
                         std::any_of(round.failed.begin(), round.failed.end(),
                                     [&](const JobSpec* failed) { return asks_no_less(job.spec, *failed); });
   if (!hopeless) {
-    if (place_gang(job, round.open)) return true;
+    if (reserve_for_gang(job, round.open)) return true;
     round.failed.push_back(&job.spec);
   }
   if (now >= job.next_preempt && round.searches < c::kPreemptsMost) {
@@ -141,7 +141,7 @@
 
 // What waiting gangs need of their teams' limits is not for arrays to take, also while it is still being
 // freed: otherwise arrays take it back task by task and the gang never gets the whole.
-void Scheduler::keep_limits_for_waiting_gangs() {
+void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
   for (const auto& [id, job] : context_.jobs.all())
@@ -183,7 +183,7 @@
 
 // Reserves capacity for the whole gang; false if it does not fit. Removes machines without free capacity from
 // `open`.
-bool Scheduler::place_gang(Job& job, std::vector<Offer>& open) {
+bool Scheduler::reserve_for_gang(Job& job, std::vector<Offer>& open) {
   auto offers = offers_for(job, open);
   std::uint32_t slots = 0;
   for (const auto& offer : offers) slots += offer.slots;
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -21,7 +21,7 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-void Scheduler::check_gang(Job& job) {
+void Scheduler::advance_gang(Job& job) {
   const double now = context_.now.steady;
   const bool complete_set = job.runs.size() == job.spec.tasks;
   switch (job.gang) {
@@ -31,7 +31,7 @@
       if (complete_set)
         JobLedger::set_gang(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
-        stop_gang(job, StopMode::kAtOnce, "found incomplete by a new leader");
+        stop_gang(job, StopMode::kImmediate, "found incomplete by a new leader");
       return;
     case GangState::kReserving: {
       const auto confirmed = std::count_if(job.reservations.begin(), job.reservations.end(),
@@ -55,7 +55,7 @@
       if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
       if (now - job.gang_since >
           c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
-        stop_gang(job, StopMode::kAtOnce, "its tasks did not all start");
+        stop_gang(job, StopMode::kImmediate, "its tasks did not all start");
       return;
     }
     case GangState::kRunning:
@@ -77,7 +77,7 @@
   placements_.release_reservations(job);
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-    plan(job, i, *context_.machines.find(places[i]), job.attempt);
+    plan_run(job, i, *context_.machines.find(places[i]), job.attempt);
   JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
   if (!direct_commands_.launches_directly()) return;
   for (const auto& name : std::set<std::string>(places.begin(), places.end()))
@@ -101,7 +101,7 @@
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
   placements_.release_reservations(job);
   JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
-  const double grace = mode == StopMode::kOrderly && job.spec.checkpoint_s > 0
+  const double grace = mode == StopMode::kGraceful && job.spec.checkpoint_s > 0
                            ? job.spec.save_s + context_.settings.gang_peer_s
                            : 0;
   std::vector<std::uint32_t> indices;
@@ -116,7 +116,7 @@
     Job* job = context_.jobs.find(id.job);
     if (job == nullptr) continue;
     if (job->spec.gang) {
-      if (job->gang != GangState::kStopping) stop_gang(*job, StopMode::kOrderly, why);
+      if (job->gang != GangState::kStopping) stop_gang(*job, StopMode::kGraceful, why);
     } else {
       stop_run(*job, id.index,
                job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -104,7 +104,7 @@
   next_wait_log_ = context_.now.steady + c::kLogWaitsEveryS;
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kActive || !job->runs.empty() || !job->reservations.empty()) continue;
-    const char* why = why_waiting(*job);
+    const char* why = wait_reason(*job);
     if (job->logged_wait_reason == why) continue;
     job->logged_wait_reason = why;
     spdlog::debug("job {} waits: {}", name_of(*job), why);
@@ -145,11 +145,11 @@
     // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
     if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2))
       round_requested_ = true;
-    round();
+    run_placement_round();
     log_wait_reasons();
   }
 }
-const char* Scheduler::why_waiting(const Job& job) const {
+const char* Scheduler::wait_reason(const Job& job) const {
   if (context_.now.steady < job.backoff_until) return "backs off after failures";
   if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -104,7 +104,7 @@
   void on_cancelled_elsewhere(protocol::JobId id);
 
   /// The cloud lists no machine at all: with none on record either, nothing is to be waited for.
-  void cloud_is_empty() {
+  void on_cloud_empty() {
     if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
@@ -147,8 +147,8 @@
   };
   enum class LaunchPath : std::uint8_t { kHeartbeatAnswer, kDirectCommand };
   enum class StopMode : std::uint8_t {
-    kOrderly,  // tasks with checkpoints get time to save
-    kAtOnce,
+    kGraceful,  // tasks with checkpoints get time to save
+    kImmediate,
   };
 
   void arrived(const bookkeeping::Job& job);
@@ -207,21 +207,23 @@
   // ---- placing ----
   void update_tiers();
   void sort_queues();
-  bool array_fits(const bookkeeping::Job& job, const bookkeeping::Machine& machine, const Resources& free);
-  struct ArrayTurn;
-  bool find_fitting_array(ArrayTurn& turn, const bookkeeping::Machine& machine, const Resources& free);
+  bool can_place_array_task(const bookkeeping::Job& job, const bookkeeping::Machine& machine,
+                            const Resources& free);
+  struct QueueCursor;
+  bool advance_to_fitting_array(QueueCursor& turn, const bookkeeping::Machine& machine,
+                                const Resources& free);
   bool open_to_arrays(bookkeeping::Machine& machine);
-  std::uint32_t fill(bookkeeping::Machine& machine);
-  void fill_idle();
-  bool take_round_due();
-  void round();
+  std::uint32_t place_arrays(bookkeeping::Machine& machine);
+  void place_arrays_directly();
+  bool take_round_request();
+  void run_placement_round();
   struct GangRound;
-  void check_gangs();
+  void advance_gangs();
   void place_waiting_gangs();
-  bool try_gang(bookkeeping::Job& job, GangRound& round);
-  void keep_limits_for_waiting_gangs();
+  bool try_place_gang(bookkeeping::Job& job, GangRound& round);
+  void withhold_quota_for_waiting_gangs();
   std::vector<Offer> offers_for(const bookkeeping::Job& job, const std::vector<Offer>& open);
-  bool place_gang(bookkeeping::Job& job, std::vector<Offer>& open);
+  bool reserve_for_gang(bookkeeping::Job& job, std::vector<Offer>& open);
   struct PreemptionOption;
   bool has_reserved_machine(const bookkeeping::Job& job) const;
   std::optional<PreemptionOption> preemption_option(const bookkeeping::Job& job,
@@ -231,10 +233,11 @@
   void free_quota_for(bookkeeping::Job& job);
   void claim_machines(const bookkeeping::Job& job);
   void launch_gang(bookkeeping::Job& job);
-  void check_gang(bookkeeping::Job& job);
+  void advance_gang(bookkeeping::Job& job);
   void stop_gang(bookkeeping::Job& job, StopMode mode, const char* why);
   void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace);
-  void plan(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine, std::uint64_t attempt);
+  void plan_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine,
+                std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
   // ---- direct commands ----
   void direct_command_failed(bookkeeping::Machine& machine);
@@ -262,7 +265,7 @@
   bool watch_direct_launches(bookkeeping::Machine& machine);
   void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
-  const char* why_waiting(const bookkeeping::Job& job) const;
+  const char* wait_reason(const bookkeeping::Job& job) const;
   void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
                 LaunchPath path);
 
