--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -243,7 +243,7 @@
   if (job.over()) return;
   delay_next_attempt(machine, job, task.exit_reason);
   if (!job.spec.gang) {
-    placements_.return_task(job, index);
+    placements_.requeue_task(job, index);
     return;
   }
   if (job.gang != GangState::kStopping)
@@ -256,7 +256,7 @@
   job.failures = 0;
   job.failed_on.clear();
   if (run.running_since > 0 && run.running_since > run.planned_at)
-    run_times_.completed(job, context_.now.steady - run.running_since);
+    run_times_.record_completion(job, context_.now.steady - run.running_since);
   if (job.state == JobState::kActive) record_result(job, index);
 }
 
@@ -287,7 +287,7 @@
   spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
   placements_.remove_run(job, index);
   if (job.over()) return;
-  if (!job.spec.gang) return placements_.return_task(job, index);
+  if (!job.spec.gang) return placements_.requeue_task(job, index);
   if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kImmediate, why);
 }
 
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -221,7 +221,7 @@
 }
 
 void Scheduler::arrived(const Job& job) {
-  run_times_.estimated(job.spec);
+  run_times_.record_estimate(job.spec);
   arrivals_.record(job, time_left(job));
 }
 
@@ -285,7 +285,7 @@
 
 // Whether a machine shows tasks of the job, or may still hold some.
 bool Scheduler::has_remaining_tasks(JobId id) {
-  return placements_.unknown_task_shown(id) || cancelled_work_.may_remain(id);
+  return placements_.has_unknown_tasks_of(id) || cancelled_work_.may_remain(id);
 }
 
 // Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -42,9 +42,10 @@
   const bool one_task_only =
       static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
   if (one_task_only && !job.runs.empty()) return false;
-  if (slots_by_count(context_, job, machine) == 0) return false;
+  if (slots_within_policy(context_, job, machine) == 0) return false;
   return !(job.spec.one_zone || job.spec.spread) ||
-         zone_allowed(job.spec, zones_of(context_, job, placements_.unknown_task_machines()), machine.zone);
+         zone_allowed(job.spec, count_tasks_by_zone(context_, job, placements_.unknown_task_machines()),
+                      machine.zone);
 }
 
 // The position in one team's queue while a machine is filled.
@@ -56,10 +57,10 @@
 };
 
 // Moves on to the team's first job that may go to the machine; false when there is none.
-bool Scheduler::advance_to_fitting_array(QueueCursor& turn, const Machine& machine, const Resources& free) {
-  for (; turn.position < turn.queue->size(); ++turn.position) {
-    if (!can_place_array_task(turn.job(), machine, free)) continue;
-    turn.rank = queue_order_.rank(turn.job(), 1);
+bool Scheduler::advance_to_fitting_array(QueueCursor& cursor, const Machine& machine, const Resources& free) {
+  for (; cursor.position < cursor.queue->size(); ++cursor.position) {
+    if (!can_place_array_task(cursor.job(), machine, free)) continue;
+    cursor.rank = queue_order_.rank(cursor.job(), 1);
     return true;
   }
   return false;
@@ -69,13 +70,14 @@
 bool Scheduler::open_to_arrays(Machine& machine) {
   if (!takes_work(context_, machine) || machine.draining) return false;
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
-  if ((queue_order_.changed() || placements_.array_unqueued()) && queue_order_.sort_due()) sort_queues();
+  if ((queue_order_.changed() || placements_.has_unqueued_array_task()) && queue_order_.sort_due())
+    sort_queues();
   if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
   capacity_survey_.refresh_if_due(queue_order_.queues());
   // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
   // once.
   if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return false;
-  return !capacity_survey_.arrays_fit_better_machines(machine);
+  return !capacity_survey_.arrays_fit_preferred_machines(machine);
 }
 
 // Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
@@ -83,15 +85,15 @@
 std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
   Resources free = free_resources(context_, machine);
-  std::vector<QueueCursor> turns;
+  std::vector<QueueCursor> cursors;
   for (const auto& [team, queue] : queue_order_.queues()) {
-    QueueCursor turn{&queue, 0, {}};
-    if (advance_to_fitting_array(turn, machine, free)) turns.push_back(turn);
+    QueueCursor cursor{&queue, 0, {}};
+    if (advance_to_fitting_array(cursor, machine, free)) cursors.push_back(cursor);
   }
   std::uint32_t placed = 0;
-  while (!turns.empty()) {
+  while (!cursors.empty()) {
     const auto best = std::min_element(
-        turns.begin(), turns.end(),
+        cursors.begin(), cursors.end(),
         [](const QueueCursor& left, const QueueCursor& right) { return left.rank < right.rank; });
     Job& job = best->job();
     plan_run(job, *job.next_task(), machine, next_attempt());
@@ -99,11 +101,11 @@
     capacity_survey_.array_task_placed(job.spec);
     ++placed;
     // The capacity is smaller now, and the team's share larger.
-    const auto placed_turn = static_cast<std::size_t>(best - turns.begin());
-    for (std::size_t i = turns.size(); i-- > 0;) {
-      const bool still_fits = i != placed_turn && free.fits(turns[i].job().spec);
-      if (!still_fits && !advance_to_fitting_array(turns[i], machine, free))
-        turns.erase(turns.begin() + static_cast<std::ptrdiff_t>(i));
+    const auto placed_cursor = static_cast<std::size_t>(best - cursors.begin());
+    for (std::size_t i = cursors.size(); i-- > 0;) {
+      const bool still_fits = i != placed_cursor && free.fits(cursors[i].job().spec);
+      if (!still_fits && !advance_to_fitting_array(cursors[i], machine, free))
+        cursors.erase(cursors.begin() + static_cast<std::ptrdiff_t>(i));
     }
   }
   return placed;
--- a/src/coordination/scheduling/array_tiers.cpp
+++ b/src/coordination/scheduling/array_tiers.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 // Part of a pace that is counted on at least, however much more is asked for than there is.
-constexpr double kLeastPacePart = 0.05;
+constexpr double kMinSupplyShare = 0.05;
 // Longer time, as a share of an array's whole time, within which the second tier has to be over.
 constexpr double kLateShare = 0.5;
 constexpr int kInTimeTier = 0;
@@ -69,7 +69,7 @@
     cores_by_name[name] = cores;
     demanded += cores;
   }
-  const double available = demanded > 0 ? std::clamp(supply_cpus / demanded, kLeastPacePart, 1.0) : 1.0;
+  const double available = demanded > 0 ? std::clamp(supply_cpus / demanded, kMinSupplyShare, 1.0) : 1.0;
   const double part = c::kPaceShare * available;
   for (auto& [name, cores] : cores_by_name) cores *= part;
   return cores_by_name;
--- a/src/coordination/scheduling/capacity_survey.cpp
+++ b/src/coordination/scheduling/capacity_survey.cpp
@@ -20,26 +20,26 @@
                                                                  : CapacityClass::kOrdinary;
 }
 
-bool CapacitySurvey::arrays_fit_better_machines(const Machine& machine) const {
-  return better_free_cpus_.at(static_cast<std::size_t>(class_of(machine))) > array_demand_cpus_;
+bool CapacitySurvey::arrays_fit_preferred_machines(const Machine& machine) const {
+  return preferred_free_cpus_.at(static_cast<std::size_t>(class_of(machine))) > array_demand_cpus_;
 }
 
 void CapacitySurvey::refresh_if_due(const QueueOrder::Queues& queues) {
-  if (context_.now.steady < next_count_) return;
-  next_count_ = context_.now.steady + c::kSurveyEveryS;
+  if (context_.now.steady < next_refresh_) return;
+  next_refresh_ = context_.now.steady + c::kSurveyEveryS;
   count(queues);
 }
 
 void CapacitySurvey::count(const QueueOrder::Queues& queues) {
   supply_cpus_ = 0;
-  better_free_cpus_.fill(0);
+  preferred_free_cpus_.fill(0);
   for (auto& [name, machine] : context_.machines.all()) {
     if (machine.state == MachineState::kUp || machine.state == MachineState::kBooting)
       supply_cpus_ += machine.cpus;
     if (!takes_work(context_, machine) || machine.draining) continue;
     const double free_cpus = std::max(0.0, free_resources(context_, machine).cpus);
     for (auto later = static_cast<std::size_t>(class_of(machine)) + 1; later < kClasses; ++later)
-      better_free_cpus_.at(later) += free_cpus;
+      preferred_free_cpus_.at(later) += free_cpus;
   }
   array_demand_cpus_ = 0;
   for (const auto& [team, queue] : queues) {
--- a/src/coordination/scheduling/capacity_survey.hpp
+++ b/src/coordination/scheduling/capacity_survey.hpp
@@ -21,7 +21,7 @@
       : context_(context), arrivals_(arrivals) {}
 
   /// The next `refresh_if_due` counts. The sums stay until then.
-  void expire() { next_count_ = 0; }
+  void expire() { next_refresh_ = 0; }
   /// `queues`: the arrays with tasks to place, by team.
   void refresh_if_due(const QueueOrder::Queues& queues);
   void array_task_placed(const protocol::JobSpec& spec) { array_demand_cpus_ -= spec.cpus; }
@@ -32,7 +32,7 @@
   double array_demand_cpus() const { return array_demand_cpus_; }
   /// Whether machines that arrays should fill before this one have free capacity for all unplaced array
   /// tasks. They send heartbeats before long, too.
-  bool arrays_fit_better_machines(const bookkeeping::Machine& machine) const;
+  bool arrays_fit_preferred_machines(const bookkeeping::Machine& machine) const;
 
  private:
   // In the order in which arrays fill machines.
@@ -47,10 +47,10 @@
 
   ControllerContext& context_;
   const ArrivalHistory& arrivals_;
-  double next_count_ = 0;
+  double next_refresh_ = 0;
   double supply_cpus_ = 0;
   double array_demand_cpus_ = 0;
-  std::array<double, kClasses> better_free_cpus_{};  // by class: free on machines of the classes before it
+  std::array<double, kClasses> preferred_free_cpus_{};  // by class: free on machines of the classes before it
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -118,10 +118,11 @@
 // Places the gang, or else begins to make capacity for it. Returns whether it was placed.
 bool Scheduler::try_place_gang(Job& job, GangRound& round) {
   const double now = context_.now.steady;
-  const bool hopeless = job.avoid.empty() &&
-                        std::any_of(round.failed.begin(), round.failed.end(),
-                                    [&](const JobSpec* failed) { return asks_no_less(job.spec, *failed); });
-  if (!hopeless) {
+  const bool known_to_fail =
+      job.avoid.empty() && std::any_of(round.failed.begin(), round.failed.end(), [&](const JobSpec* failed) {
+        return asks_no_less(job.spec, *failed);
+      });
+  if (!known_to_fail) {
     if (reserve_for_gang(job, round.open)) return true;
     round.failed.push_back(&job.spec);
   }
@@ -174,7 +175,7 @@
         std::any_of(machine.direct.begin(), machine.direct.end(),
                     [&](const auto& entry) { return entry.first.job == job.spec.id; });
     if (earlier_attempt) continue;
-    const auto slots = std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
+    const auto slots = std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
     if (slots == 0) continue;
     offers.push_back({&machine, slots, free.cpus, machine.images.contains(job.spec.image)});
   }
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -71,27 +71,28 @@
 }
 
 void Scheduler::launch_gang(Job& job) {
-  std::vector<std::string> places;
+  std::vector<std::string> machine_names;
   for (const auto& reservation : job.reservations)
-    if (reservation.confirmed && places.size() < job.spec.tasks) places.push_back(reservation.machine);
+    if (reservation.confirmed && machine_names.size() < job.spec.tasks)
+      machine_names.push_back(reservation.machine);
   placements_.release_reservations(job);
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-    plan_run(job, i, *context_.machines.find(places[i]), job.attempt);
+    plan_run(job, i, *context_.machines.find(machine_names[i]), job.attempt);
   JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
   if (!direct_commands_.launches_directly()) return;
-  for (const auto& name : std::set<std::string>(places.begin(), places.end()))
+  for (const auto& name : std::set<std::string>(machine_names.begin(), machine_names.end()))
     if (direct_commands_.can_send()) launch_directly(*context_.machines.find(name));
 }
 
-void Scheduler::stop_run(Job& job, std::uint32_t index, double grace) {
+void Scheduler::stop_run(Job& job, std::uint32_t index, double grace_s) {
   const auto found = job.runs.find(index);
   if (found == job.runs.end()) return;
   if (found->second.state == RunState::kPlanned) {
     placements_.remove_run(job, index);  // never sent
     return;
   }
-  found->second.stop_grace = grace;
+  found->second.stop_grace = grace_s;
   JobLedger::set_run(job, found->second, RunState::kStopping);
   machines_with_pending_stops_.insert(found->second.machine);
   round_requested_ = true;
@@ -101,12 +102,12 @@
   spdlog::info("gang {}: all stop: {}", name_of(job), why);
   placements_.release_reservations(job);
   JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
-  const double grace = mode == StopMode::kGraceful && job.spec.checkpoint_s > 0
-                           ? job.spec.save_s + context_.settings.gang_peer_s
-                           : 0;
+  const double grace_s = mode == StopMode::kGraceful && job.spec.checkpoint_s > 0
+                             ? job.spec.save_s + context_.settings.gang_peer_s
+                             : 0;
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
-  for (const auto index : indices) stop_run(job, index, grace);
+  for (const auto index : indices) stop_run(job, index, grace_s);
   send_stops();
 }
 
@@ -120,7 +121,7 @@
     } else {
       stop_run(*job, id.index,
                job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
-      placements_.return_task(*job, id.index);
+      placements_.requeue_task(*job, id.index);
     }
   }
   send_stops();
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -18,13 +18,13 @@
 
 const Resources& free_resources(ControllerContext& context, Machine& machine) {
   if (!machine.free_resources_known) {
-    machine.free_resources = count_free_resources(context, machine);
+    machine.free_resources = compute_free_resources(context, machine);
     machine.free_resources_known = true;
   }
   return machine.free_resources;
 }
 
-Resources count_free_resources(ControllerContext& context, const Machine& machine) {
+Resources compute_free_resources(ControllerContext& context, const Machine& machine) {
   Resources resources{machine.cpus, machine.gpus, machine.memory_gb};
   for (const auto& task : machine.tasks)
     if (const Job* job = context.jobs.find(task.job)) resources.take(job->spec);
@@ -55,8 +55,8 @@
          context.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
 }
 
-ZoneCount zones_of(ControllerContext& context, const Job& job,
-                   const std::set<std::string>& unknown_task_machines) {
+ZoneCount count_tasks_by_zone(ControllerContext& context, const Job& job,
+                              const std::set<std::string>& unknown_task_machines) {
   ZoneCount result;
   const auto add = [&](const std::string& name) {
     const auto* machine = context.machines.find(name);
@@ -90,7 +90,7 @@
   return true;
 }
 
-std::uint32_t slots_by_count(ControllerContext& context, const Job& job, const Machine& machine) {
+std::uint32_t slots_within_policy(ControllerContext& context, const Job& job, const Machine& machine) {
   std::set<protocol::JobId> present(machine.reservations);
   std::uint32_t here = 0;
   for (const auto& task : machine.tasks) {
@@ -119,7 +119,7 @@
     if (left_zone_cpus != right_zone_cpus) return left_zone_cpus > right_zone_cpus;
     if (left.machine->zone != right.machine->zone) return left.machine->zone < right.machine->zone;
     if (left.free_cpus != right.free_cpus) return left.free_cpus > right.free_cpus;
-    if (left.warm != right.warm) return left.warm;
+    if (left.has_image != right.has_image) return left.has_image;
     return left.machine->name < right.machine->name;
   });
 }
@@ -139,20 +139,20 @@
 // Distributes tasks over sorted offers.
 class GangMapper {
  public:
-  GangMapper(std::vector<Offer> offers, std::uint32_t most_tasks, std::uint32_t most_per_zone)
+  GangMapper(std::vector<Offer> offers, std::uint32_t max_tasks, std::uint32_t max_tasks_per_zone)
       : offers_(std::move(offers)),
         taken_(offers_.size()),
-        most_tasks_(most_tasks),
-        most_per_zone_(most_per_zone) {}
+        max_tasks_(max_tasks),
+        max_tasks_per_zone_(max_tasks_per_zone) {}
 
   // Gives each machine up to `per_machine` more tasks; returns how many were placed.
-  std::uint32_t pass(std::uint32_t per_machine) {
+  std::uint32_t run_pass(std::uint32_t per_machine) {
     const std::uint32_t before = placed_;
-    for (std::size_t i = 0; i < offers_.size() && placed_ < most_tasks_; ++i) {
+    for (std::size_t i = 0; i < offers_.size() && placed_ < max_tasks_; ++i) {
       auto& in_zone = in_zone_[offers_[i].machine->zone];
-      const std::uint32_t tasks =
-          std::min({offers_[i].slots - taken_[i], most_per_zone_ - std::min(in_zone, most_per_zone_),
-                    most_tasks_ - placed_, per_machine});
+      const std::uint32_t tasks = std::min({offers_[i].slots - taken_[i],
+                                            max_tasks_per_zone_ - std::min(in_zone, max_tasks_per_zone_),
+                                            max_tasks_ - placed_, per_machine});
       taken_[i] += tasks;
       in_zone += tasks;
       placed_ += tasks;
@@ -172,8 +172,8 @@
   std::vector<std::uint32_t> taken_;  // slots of the offer with the same index
   std::map<std::string, std::uint32_t> in_zone_;
   std::uint32_t placed_ = 0;
-  std::uint32_t most_tasks_;
-  std::uint32_t most_per_zone_;
+  std::uint32_t max_tasks_;
+  std::uint32_t max_tasks_per_zone_;
 };
 
 }  // namespace
@@ -183,13 +183,13 @@
   std::erase_if(offers, [](const Offer& offer) { return offer.slots == 0; });
   sort_offers(offers);
   if (spec.one_zone) keep_one_zone(offers, needed);
-  const std::uint32_t most_tasks = needed + extra;
-  GangMapper mapper(std::move(offers), most_tasks, spec.spread ? (needed + 1) / 2 : most_tasks);
+  const std::uint32_t max_tasks = needed + extra;
+  GangMapper mapper(std::move(offers), max_tasks, spec.spread ? (needed + 1) / 2 : max_tasks);
   if (concentrate) {
-    mapper.pass(most_tasks);  // a machine is filled before the next
+    mapper.run_pass(max_tasks);  // a machine is filled before the next
   } else {
     // One task a machine down the list, from the top again until nothing more fits.
-    while (mapper.pass(1) > 0) {
+    while (mapper.run_pass(1) > 0) {
     }
   }
   if (mapper.placed() < needed) return std::nullopt;
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -18,7 +18,7 @@
 /// and counted anew when one of them has changed.
 const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
 /// The same, always counted. Nothing is free while a task of unknown size is on the machine.
-Resources count_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
+Resources compute_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
 /// Whether the job's owner allows machines of this type, zone and price (spot or not).
 bool kind_allowed(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
@@ -38,15 +38,15 @@
   std::map<std::string, std::uint32_t> tasks;
   std::uint32_t unknown = 0;
 };
-ZoneCount zones_of(ControllerContext& context, const bookkeeping::Job& job,
-                   const std::set<std::string>& unknown_task_machines);
+ZoneCount count_tasks_by_zone(ControllerContext& context, const bookkeeping::Job& job,
+                              const std::set<std::string>& unknown_task_machines);
 /// Whether one more task in the zone keeps the job's zone rules; `tasks` is updated by the caller.
 bool zone_allowed(const protocol::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
 /// How many more tasks of the job the machine may take by the limits `jobs_per_machine` and `tasks_per_job`
 /// of the policy.
-std::uint32_t slots_by_count(ControllerContext& context, const bookkeeping::Job& job,
-                             const bookkeeping::Machine& machine);
+std::uint32_t slots_within_policy(ControllerContext& context, const bookkeeping::Job& job,
+                                  const bookkeeping::Machine& machine);
 
 /// Tasks of a gang that go to one machine.
 struct Assignment {
@@ -58,7 +58,7 @@
   bookkeeping::Machine* machine = nullptr;
   std::uint32_t slots = 0;
   double free_cpus = 0;
-  bool warm = false;  // has the image
+  bool has_image = false;  // has the image
 };
 // Places for `needed` tasks and up to `extra` more; nothing when they don't all fit. Zones, then machines,
 // most free capacity first; a one-zone gang stays in one zone.
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -28,7 +28,7 @@
 void Placements::clear() {
   unknown_task_machines_.clear();
   capacity_freed_ = false;
-  array_unqueued_ = false;
+  unqueued_array_task_ = false;
 }
 
 // How long the job waited for capacity within its team's limit. Jobs of earlier leaders, and those to which
@@ -68,9 +68,9 @@
   capacity_freed_ = true;
 }
 
-void Placements::return_task(Job& job, std::uint32_t index) {
+void Placements::requeue_task(Job& job, std::uint32_t index) {
   job.give_back(index);
-  if (!job.queued) array_unqueued_ = true;
+  if (!job.queued) unqueued_array_task_ = true;
 }
 
 void Placements::add_reservation(Job& job, Machine& machine) {
@@ -111,7 +111,7 @@
     unknown_task_machines_.insert(machine.name);
 }
 
-bool Placements::unknown_task_shown(protocol::JobId id) const {
+bool Placements::has_unknown_tasks_of(protocol::JobId id) const {
   return std::any_of(
       unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
         const Machine* machine = context_.machines.find(name);
@@ -146,7 +146,7 @@
 }
 
 std::string Placements::audit_machine(const Machine& machine) {
-  const Resources free = count_free_resources(context_, machine);
+  const Resources free = compute_free_resources(context_, machine);
   if (machine.free_resources_known && machine.unknown_tasks.empty() &&
       differ(free.cpus, machine.free_resources.cpus))
     return "machine " + machine.name + " has " + std::to_string(free.cpus) + " cpus free, the accounts say " +
--- a/src/coordination/scheduling/placements.hpp
+++ b/src/coordination/scheduling/placements.hpp
@@ -29,10 +29,10 @@
   void add_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
                bookkeeping::Machine& machine);
   /// Removes the task's run and frees its capacity; does nothing if the task has no run. The task is not
-  /// placed again before `return_task`.
+  /// placed again before `requeue_task`.
   void remove_run(bookkeeping::Job& job, std::uint32_t index);
   /// Makes a task of an array available for placement once more.
-  void return_task(bookkeeping::Job& job, std::uint32_t index);
+  void requeue_task(bookkeeping::Job& job, std::uint32_t index);
 
   /// Reserves capacity for one task of the gang until a heartbeat of the machine confirms that it is free, at
   /// most for `kReservationHeartbeats` heartbeat intervals.
@@ -46,14 +46,14 @@
   /// Names of the machines that show unknown tasks.
   const std::set<std::string>& unknown_task_machines() const { return unknown_task_machines_; }
   /// Whether some machine shows an unknown task of the job.
-  bool unknown_task_shown(protocol::JobId id) const;
+  bool has_unknown_tasks_of(protocol::JobId id) const;
 
   /// Whether capacity came free since the last `clear_capacity_freed`, so that waiting gangs may fit now.
   bool capacity_freed() const { return capacity_freed_; }
   void clear_capacity_freed() { capacity_freed_ = false; }
-  /// Whether an array that is in no queue has a task to place since the last `clear_array_unqueued`.
-  bool array_unqueued() const { return array_unqueued_; }
-  void clear_array_unqueued() { array_unqueued_ = false; }
+  /// Whether an array that is in no queue has a task to place since the last `clear_unqueued_array_task`.
+  bool has_unqueued_array_task() const { return unqueued_array_task_; }
+  void clear_unqueued_array_task() { unqueued_array_task_ = false; }
 
   /// Compares the running sums with a count of everything. Returns a description of the first difference,
   /// empty if there is none. For tests.
@@ -68,7 +68,7 @@
   ControllerContext& context_;
   std::set<std::string> unknown_task_machines_;
   bool capacity_freed_ = false;
-  bool array_unqueued_ = false;
+  bool unqueued_array_task_ = false;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -22,8 +22,8 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// The limit of a gang's team is used up: its own arrays of lower priority step back, fewest lost seconds
-// first.
+// The limit of a gang's team is used up: its own arrays of lower priority step back, fewest lost_cpu_s
+// seconds first.
 void Scheduler::free_quota_for(Job& job) {
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
@@ -34,7 +34,7 @@
   struct Victim {
     Job* job;
     std::uint32_t index;
-    double lost;
+    double lost_cpu_s;
   };
   std::vector<Victim> victims;
   for (auto& [id, other] : context_.jobs.all()) {
@@ -49,7 +49,8 @@
     }
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
-    return std::tuple(a.lost, a.job->spec.id, a.index) < std::tuple(b.lost, b.job->spec.id, b.index);
+    return std::tuple(a.lost_cpu_s, a.job->spec.id, a.index) <
+           std::tuple(b.lost_cpu_s, b.job->spec.id, b.index);
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
@@ -60,7 +61,7 @@
     if (excess <= 0) break;
     excess -= victim.job->spec.cpus;
     stop_run(*victim.job, victim.index, 0);
-    placements_.return_task(*victim.job, victim.index);
+    placements_.requeue_task(*victim.job, victim.index);
     ++stopped;
     context_.metrics.count("preempted");
   }
@@ -73,11 +74,11 @@
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost;  // cpu seconds of its run so far
+    double lost_cpu_s;  // cpu seconds of its run so far
   };
   Machine* machine;
   std::vector<Victim> victims;
-  double lost = 0;  // of all of them
+  double lost_cpu_s = 0;  // of all of them
 };
 
 // Whether capacity is being made for the gang already.
@@ -102,14 +103,14 @@
     candidates.push_back({id, ran_s * other->spec.cpus});
   }
   std::sort(candidates.begin(), candidates.end(),
-            [](const Victim& left, const Victim& right) { return left.lost < right.lost; });
+            [](const Victim& left, const Victim& right) { return left.lost_cpu_s < right.lost_cpu_s; });
   PreemptionOption option{&machine, {}, 0};
   Resources free = free_resources(context_, machine);
   for (const auto& victim : candidates) {
     if (free.fits(job.spec)) break;
     free.give(context_.jobs.find(victim.task.job)->spec);
     option.victims.push_back(victim);
-    option.lost += victim.lost;
+    option.lost_cpu_s += victim.lost_cpu_s;
   }
   if (!free.fits(job.spec)) return std::nullopt;
   return option;
@@ -123,11 +124,11 @@
   for (const auto& victim : option.victims) {
     Job* other = context_.jobs.find(victim.task.job);
     stop_run(*other, victim.task.index, 0);
-    placements_.return_task(*other, victim.task.index);
+    placements_.requeue_task(*other, victim.task.index);
     context_.metrics.count("preempted");
   }
   spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
-               option.victims.size(), option.machine->name, option.lost);
+               option.victims.size(), option.machine->name, option.lost_cpu_s);
 }
 
 // Capacity for a gang is made from work of lower priority, fewest lost seconds first.
@@ -144,7 +145,7 @@
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
     const Resources& free = free_resources(context_, machine);
     if (free.fits(job.spec))
-      free_slots += std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
+      free_slots += std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
     else if (auto option = preemption_option(job, machine))
       options.push_back(std::move(*option));
   }
@@ -152,7 +153,7 @@
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
   std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
-    return std::tie(left.lost, left.machine->name) < std::tie(right.lost, right.machine->name);
+    return std::tie(left.lost_cpu_s, left.machine->name) < std::tie(right.lost_cpu_s, right.machine->name);
   });
   for (std::size_t i = 0; i < needed; ++i) preempt(job, options[i]);
   send_stops();
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -11,48 +11,49 @@
 namespace c = constants;
 using bookkeeping::Job;
 
-void RunTimes::estimated(const protocol::JobSpec& spec) {
+void RunTimes::record_estimate(const protocol::JobSpec& spec) {
   if (spec.estimate_s <= 0) return;
   auto& times = classes_[spec.job_class];
-  times.estimates += (std::log(spec.estimate_s) - times.estimates) / ++times.estimated;
+  times.log_estimate_mean += (std::log(spec.estimate_s) - times.log_estimate_mean) / ++times.estimate_count;
 }
 
-void RunTimes::completed(Job& job, double ran) {
-  job.ran_sum += ran;
+void RunTimes::record_completion(Job& job, double ran_s) {
+  job.ran_sum += ran_s;
   ++job.ran_count;
   // A large array must not drown all other jobs of its class.
   if (job.spec.estimate_s <= 0 || job.ran_count > c::kLearnTasksOfJob) return;
   auto& times = classes_[job.spec.job_class];
-  const double weight = std::max(c::kLearnWeight, 1.0 / ++times.count);
-  const auto follow = [&](double seen, double& mean, double& spread) {
-    const double off = seen - mean;
-    mean += weight * off;
-    spread += weight * (off * off - spread);
+  const double weight = std::max(c::kLearnWeight, 1.0 / ++times.completion_count);
+  const auto update_average = [&](double sample, double& mean, double& variance) {
+    const double deviation = sample - mean;
+    mean += weight * deviation;
+    variance += weight * (deviation * deviation - variance);
   };
-  follow(std::log(std::max(ran, 0.1)), times.run, times.run_spread);
-  follow(std::log(std::clamp(ran / job.spec.estimate_s, c::kLearnRatioMin, c::kLearnRatioMax)), times.error,
-         times.error_spread);
+  update_average(std::log(std::max(ran_s, 0.1)), times.log_run_mean, times.log_run_variance);
+  update_average(std::log(std::clamp(ran_s / job.spec.estimate_s, c::kLearnRatioMin, c::kLearnRatioMax)),
+                 times.log_error_mean, times.log_error_variance);
 }
 
-// The owner's estimate, put right by what the class is usually off by, and drawn towards the class's usual
-// run time the more the estimates scatter.
+// The owner's estimate, put right by what the class is usually off by, and drawn towards the class's
+// usual run time the more the estimates scatter.
 double RunTimes::expected(const Job& job) const {
   return job.ran_count >= c::kLearnOwnTasks ? job.ran_sum / job.ran_count : expected(job.spec);
 }
 
 double RunTimes::expected(const protocol::JobSpec& spec) const {
   const auto found = classes_.find(spec.job_class);
-  const bool known = found != classes_.end() && found->second.count >= c::kLearnOwnTasks;
-  if (spec.estimate_s <= 0) return known ? std::exp(found->second.run) : c::kUnknownRunS;
+  const bool known = found != classes_.end() && found->second.completion_count >= c::kLearnOwnTasks;
+  if (spec.estimate_s <= 0) return known ? std::exp(found->second.log_run_mean) : c::kUnknownRunS;
   const double estimate = std::log(spec.estimate_s);
   if (!known) {
     // Before anything of the class has run, other owners' estimates temper one that is far off.
-    if (found == classes_.end() || found->second.estimated < c::kLearnOwnTasks) return spec.estimate_s;
-    return std::exp(c::kEstimateTrust * estimate + (1 - c::kEstimateTrust) * found->second.estimates);
+    if (found == classes_.end() || found->second.estimate_count < c::kLearnOwnTasks) return spec.estimate_s;
+    return std::exp(c::kEstimateTrust * estimate + (1 - c::kEstimateTrust) * found->second.log_estimate_mean);
   }
   const auto& times = found->second;
-  const double trust = (times.run_spread + 0.01) / (times.run_spread + times.error_spread + 0.02);
-  return std::exp(trust * (estimate + times.error) + (1 - trust) * times.run);
+  const double trust =
+      (times.log_run_variance + 0.01) / (times.log_run_variance + times.log_error_variance + 0.02);
+  return std::exp(trust * (estimate + times.log_error_mean) + (1 - trust) * times.log_run_mean);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/run_times.hpp
+++ b/src/coordination/scheduling/run_times.hpp
@@ -14,9 +14,9 @@
 class RunTimes {
  public:
   /// A job came, with its owner's estimate.
-  void estimated(const protocol::JobSpec& spec);
+  void record_estimate(const protocol::JobSpec& spec);
   /// A task of the job ran for `ran` seconds to its end.
-  void completed(bookkeeping::Job& job, double ran);
+  void record_completion(bookkeeping::Job& job, double ran_s);
   /// Expected run time of a task, in s. The job's own completions count above all.
   double expected(const bookkeeping::Job& job) const;
   /// Expected run time of a task of a job that has not completed any, in s.
@@ -26,13 +26,13 @@
   // What completions tell of a class, in natural logarithms: its run times, and how far the owners' estimates
   // are off.
   struct ClassTimes {
-    double run = 0;
-    double run_spread = 0;
-    double error = 0;
-    double error_spread = 0;
-    int count = 0;
-    double estimates = 0;  // mean of the owners' estimates, also in logarithms
-    int estimated = 0;
+    double log_run_mean = 0;
+    double log_run_variance = 0;
+    double log_error_mean = 0;
+    double log_error_variance = 0;
+    int completion_count = 0;
+    double log_estimate_mean = 0;  // mean of the owners' estimates, also in logarithms
+    int estimate_count = 0;
   };
   std::map<std::string, ClassTimes> classes_;
 };
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -86,7 +86,7 @@
 
 void Scheduler::sort_queues() {
   queue_order_.sort();
-  placements_.clear_array_unqueued();
+  placements_.clear_unqueued_array_task();
 }
 
 void Scheduler::update_tiers() {
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -210,7 +210,7 @@
   bool can_place_array_task(const bookkeeping::Job& job, const bookkeeping::Machine& machine,
                             const Resources& free);
   struct QueueCursor;
-  bool advance_to_fitting_array(QueueCursor& turn, const bookkeeping::Machine& machine,
+  bool advance_to_fitting_array(QueueCursor& cursor, const bookkeeping::Machine& machine,
                                 const Resources& free);
   bool open_to_arrays(bookkeeping::Machine& machine);
   std::uint32_t place_arrays(bookkeeping::Machine& machine);
@@ -235,7 +235,7 @@
   void launch_gang(bookkeeping::Job& job);
   void advance_gang(bookkeeping::Job& job);
   void stop_gang(bookkeeping::Job& job, StopMode mode, const char* why);
-  void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace);
+  void stop_run(bookkeeping::Job& job, std::uint32_t index, double grace_s);
   void plan_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::Machine& machine,
                 std::uint64_t attempt);
   std::uint64_t next_attempt() { return (election_.term() << constants::kAttemptBits) | ++attempt_counter_; }
