--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: places tasks of arrays on the machines whose heartbeats show free capacity. docs/design.md,
-/// section "What was added", "Arrays".
+/// Scheduler: places array tasks on machines with free capacity. docs/design.md, section "What was added",
+/// "Arrays".
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -23,7 +23,7 @@
   placements_.add_run(job, index, std::move(run), machine);
 }
 
-// Whether a task of the array may go to the machine now.
+// Whether a task of the array may be placed on the machine now.
 bool Scheduler::can_place_array_task(const Job& job, const Machine& machine, const Resources& free) {
   const double now = context_.now.steady;
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
@@ -36,9 +36,9 @@
   const auto kept = withheld_quota_cpus_.find(job.spec.team);
   if (!context_.quota.allows(job.spec, 1, kept == withheld_quota_cpus_.end() ? 0 : kept->second))
     return false;
-  // A job that failed on several machines is tried with a single task until one succeeds. One that goes
-  // before the others by its age begins with a single task, too: the rest keeps its place in the order of due
-  // times. Whole arrays let through by age made others late that were in time.
+  // A job that failed on several machines runs one task at a time until one succeeds. A job that is ranked
+  // first because of its waiting time also starts with one task, and its other tasks are ranked by due time
+  // again: when whole arrays were preferred by waiting time, other arrays missed their due times.
   const bool one_task_only =
       static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
   if (one_task_only && !job.runs.empty()) return false;
@@ -48,7 +48,7 @@
                       machine.zone);
 }
 
-// The position in one team's queue while a machine is filled.
+// Position in the queue of one team while tasks are placed on a machine.
 struct Scheduler::QueueCursor {
   const std::vector<Job*>* queue;
   std::size_t position = 0;
@@ -56,7 +56,8 @@
   Job& job() const { return *(*queue)[position]; }
 };
 
-// Moves on to the team's first job that may go to the machine; false when there is none.
+// Advances the cursor to the next job of its queue with a task that may be placed on the machine. Returns
+// false if there is none.
 bool Scheduler::advance_to_fitting_array(QueueCursor& cursor, const Machine& machine, const Resources& free) {
   for (; cursor.position < cursor.queue->size(); ++cursor.position) {
     if (!can_place_array_task(cursor.job(), machine, free)) continue;
@@ -66,7 +67,7 @@
   return false;
 }
 
-// Whether arrays may use the machine's free capacity at present.
+// Whether arrays may use the free capacity of the machine now.
 bool Scheduler::open_to_arrays(Machine& machine) {
   if (!takes_work(context_, machine) || machine.draining) return false;
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
@@ -74,14 +75,14 @@
     sort_queues();
   if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
   capacity_survey_.refresh_if_due(queue_order_.queues());
-  // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
-  // once.
+  // Waiting gangs are considered first for capacity that was just freed: array tasks placed there could be
+  // preempted again at once.
   if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return false;
   return !capacity_survey_.arrays_fit_preferred_machines(machine);
 }
 
-// Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
-// Returns the number of tasks placed.
+// Places array tasks on the machine in the order of their ranks until nothing more fits. Returns the number
+// of tasks placed.
 std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
   Resources free = free_resources(context_, machine);
@@ -100,7 +101,7 @@
     free.take(job.spec);
     capacity_survey_.array_task_placed(job.spec);
     ++placed;
-    // The capacity is smaller now, and the team's share larger.
+    // The machine has less free capacity now, and the job's team a larger share in use.
     const auto placed_cursor = static_cast<std::size_t>(best - cursors.begin());
     for (std::size_t i = cursors.size(); i-- > 0;) {
       const bool still_fits = i != placed_cursor && free.fits(cursors[i].job().spec);
@@ -111,8 +112,9 @@
   return placed;
 }
 
-// With long heartbeat intervals new work would wait for most of one: the leader launches it by direct
-// commands on machines with free capacity.
+// Where launches are direct, places array tasks on machines with free capacity and launches them by direct
+// command. With long heartbeat intervals, they would otherwise wait for the next heartbeat for most of an
+// interval.
 void Scheduler::place_arrays_directly() {
   if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
       capacity_survey_.array_demand_cpus() <= 0)
--- a/src/coordination/scheduling/array_tiers.cpp
+++ b/src/coordination/scheduling/array_tiers.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-// Part of a pace that is counted on at least, however much more is asked for than there is.
+// Smallest share of the cores in demand that is assumed to be available, however far demand exceeds supply.
 constexpr double kMinSupplyShare = 0.05;
-// Longer time, as a share of an array's whole time, within which the second tier has to be over.
+// An array of the second tier may end late by this share of its total time, from submission to due time.
 constexpr double kLateShare = 0.5;
 constexpr int kInTimeTier = 0;
 constexpr int kSlightlyLateTier = 1;
@@ -28,10 +28,10 @@
 
 struct Candidate {
   Job* job;
-  double time_left_s;       // until it should be over
-  double late_time_left_s;  // until it is more than half late
-  double last_run_s;        // of its last tasks, that other jobs' first ones don't overlap with
-  double core_seconds;      // that remain
+  double time_left_s;       // until its due time
+  double late_time_left_s;  // until it is late by more than `kLateShare` of its total time
+  double last_run_s;        // run time of its last tasks that does not overlap with other jobs' first tasks
+  double core_seconds;      // of its remaining tasks
 };
 using CandidatesByTeam = std::map<std::string, std::vector<Candidate>>;
 
@@ -49,8 +49,9 @@
   return teams;
 }
 
-// Cores that each team's arrays can hope for: up to the team's limit less its gangs, and no more than their
-// part of the capacity there is.
+// Cores that the arrays of each team can be expected to use: what their remaining tasks need, at most the
+// team's quota minus the cores of its gangs. The result is scaled by `kPaceShare`, and in proportion if the
+// supply that gangs leave is smaller than the sum over all teams.
 std::map<std::string, double> cores_by_team(ControllerContext& context, const CandidatesByTeam& teams,
                                             double supply_cpus) {
   std::map<std::string, double> gang_cpus;
@@ -79,7 +80,7 @@
   return (tier == kInTimeTier ? array.time_left_s : array.late_time_left_s) - array.last_run_s;
 }
 
-// Gives the tier to the arrays that can be over within its limits, and returns the others.
+// Assigns the tier to the arrays that can end within its time limits, and returns the others.
 std::vector<Candidate> assign_tier(std::vector<Candidate> arrays, int tier, double cores) {
   std::sort(arrays.begin(), arrays.end(), [&](const Candidate& left, const Candidate& right) {
     return std::tuple(time_limit(left, tier), left.job->spec.id) <
@@ -87,7 +88,7 @@
   });
   std::vector<Candidate> chosen;
   std::vector<Candidate> late;
-  double core_seconds = 0;  // of those chosen
+  double core_seconds = 0;  // total of `chosen`
   for (const auto& array : arrays) {
     chosen.push_back(array);
     core_seconds += array.core_seconds;
--- a/src/coordination/scheduling/array_tiers.hpp
+++ b/src/coordination/scheduling/array_tiers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which arrays step back when not all of them can be over in time.
+/// Assigns tiers to arrays when not all of them can end by their due times.
 #pragma once
 
 #include "coordination/controller_context.hpp"
@@ -8,12 +8,14 @@
 
 namespace robinford::coordination {
 
-/// Sets `Job::tier` of all active arrays. A team that asks for more than its limit can't have all jobs in
-/// time: going through its arrays by due time, whenever one would be late the largest so far steps back, so
-/// that the fewest jobs are late. Those that stepped back are sorted the same way once more, against one and
-/// a half times the time they had; what is late even then gets the last tier.
+/// Sets `Job::tier` of all active arrays. A team whose arrays need more than its quota cannot end all of them
+/// in time. Its arrays are added in the order of their due times; whenever one would be late, the largest one
+/// added so far is moved to the next tier, which keeps the number of late jobs small. The arrays moved are
+/// tried once more in the same way, with one and a half times their total time. Those that would be late even
+/// then get the last tier.
 ///
-/// `supply_cpus`: of all machines that are up or booting. Nothing of safety depends on the tiers.
+/// `supply_cpus`: cpus of all machines that are up or booting. The tiers affect only the order of placement,
+/// not its safety.
 void assign_array_tiers(ControllerContext& context, const RunTimes& run_times, const QueueOrder& order,
                         double supply_cpus);
 
--- a/src/coordination/scheduling/arrival_history.cpp
+++ b/src/coordination/scheduling/arrival_history.cpp
@@ -15,7 +15,8 @@
 using protocol::JobSpec;
 
 void ArrivalHistory::record(const Job& job, double time_left_s) {
-  // A new leader reads jobs that came long ago: dated by their reading they would look like a burst.
+  // Arrivals are dated by when the job became eligible. A new leader records all active jobs at once; dated
+  // by that moment, they would look like a burst.
   const double age_s = std::max(0.0, (context_.now.wall_ms - job.eligible_ms()) / 1000.0);
   const double arrived_at = context_.now.steady - age_s;
   if (job.spec.gang) {
@@ -36,7 +37,8 @@
     const double urgency = std::clamp(c::kReadyBoots * boot_s / arrival.allowed_s, c::kReadyLeast, 1.0);
     core_seconds_by_team[arrival.spec.team] += arrival.cores * run_times_.expected(arrival.spec) * urgency;
   }
-  // Jobs that already wait when a service starts don't show a rate: the window is never taken as shorter.
+  // The divisor is the whole window even if the service started less than `kLoadWindowS` ago: jobs that were
+  // waiting at the start say nothing about the arrival rate.
   double cores = 0;
   for (const auto& [name, core_seconds] : core_seconds_by_team)
     if (const auto* team = context_.settings.team(name))
@@ -44,7 +46,7 @@
   return cores;
 }
 
-// Tasks of the gang that fit one machine, of the type that fits most.
+// Largest number of tasks of the gang that fit one machine, over all machine types that it allows.
 std::uint32_t ArrivalHistory::tasks_per_machine(const JobSpec& spec) const {
   std::uint32_t most = 0;
   for (const auto& [name, type] : context_.types) {
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What arrived lately: the load that new gangs and arrays bring, and the kinds of machines that gangs use.
+/// Recent job arrivals: the load from new gangs and arrays, and the kinds of machines that gangs use.
 #pragma once
 
 #include <deque>
@@ -11,30 +11,32 @@
 
 namespace robinford::coordination {
 
-/// Owns copies of the descriptions of recently admitted jobs, bounded by `kRecentGangs` and `kRecentArrays`.
-/// The fleet decides from them how much capacity to keep ready; nothing of safety depends on it. The history
-/// outlives a term of leadership, since arrivals don't change with the leader.
+/// Keeps copies of the specifications of recently eligible jobs, at most `kRecentGangs` gangs and
+/// `kRecentArrays` arrays. The fleet uses them to decide how much capacity to keep ready; they do not affect
+/// safety. The history is kept across terms of leadership, since the arrival rate does not depend on the
+/// leader.
 class ArrivalHistory {
  public:
-  /// Both references must outlive the history. `run_times` predicts the work of recorded arrays.
+  /// The references must outlive the object. `run_times` predicts the work of recorded arrays.
   ArrivalHistory(const ControllerContext& context, const RunTimes& run_times)
       : context_(context), run_times_(run_times) {}
 
   /// Records a job that became eligible. `time_left_s`: seconds until the job should be over.
   void record(const bookkeeping::Job& job, double time_left_s);
 
-  /// Whether some recent gang could place a task on the whole machine.
+  /// Whether a task of some recent gang fits the machine when it is empty.
   bool suits_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fits; }
-  /// Whether one task of some recent gang takes most of the machine. Machines are kept ready for such gangs
-  /// only: a gang of small tasks finds its place beside other work.
+  /// Whether the machine holds at most `kFillingGangTasks` tasks of some recent gang. Machines are kept ready
+  /// only for such gangs, since gangs with smaller tasks fit beside other work.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
-  /// The last gang of which each task takes most of a machine; without one, the last gang; null if no gang
-  /// came. Valid until the next call of `record`.
+  /// The latest gang of which at most `kFillingGangTasks` tasks fit one machine; else the latest gang; null
+  /// if there is none. Valid until the next call of `record`.
   const protocol::JobSpec* typical_gang() const;
-  /// Machines that arriving gangs fill, per second, over the last `kGangWindowS`.
+  /// Rate of machines needed by arriving gangs, per second, averaged over the last `kGangWindowS`.
   double gang_machines_per_second() const;
-  /// Cores that the arrays of the last `kLoadWindowS` keep busy, each team's up to its limit. An array that
-  /// can wait for machines to boot (`boot_s` seconds each) counts for less.
+  /// Cores needed on average by the arrays that arrived in the last `kLoadWindowS`, for each team at most its
+  /// limit. An array counts for less if its due time leaves enough time to boot machines, which takes
+  /// `boot_s` seconds.
   double array_cores(double boot_s) const;
 
  private:
@@ -46,9 +48,9 @@
     double at;  // steady time, s
     protocol::JobSpec spec;
     double cores;      // of all its tasks together
-    double allowed_s;  // from its arrival to the time at which it should be over, at least 1
+    double allowed_s;  // from its recording to its due time, at least 1
   };
-  // What recent gangs could do with a machine of one kind.
+  // Whether machines of one kind can run tasks of recent gangs.
   struct GangUse {
     bool fits = false;
     bool fills = false;
@@ -61,7 +63,7 @@
   const RunTimes& run_times_;
   std::deque<GangArrival> gangs_;
   std::deque<ArrayArrival> arrays_;
-  // Answers of `gang_use`, computed once for each kind and kept for `kSuitsS`.
+  // Results of `gang_use` by kind, valid for `kSuitsS`.
   mutable std::map<MachineKind, GangUse> gang_use_cache_;
   mutable double gang_use_cached_until_ = 0;
 };
--- a/src/coordination/scheduling/capacity_survey.hpp
+++ b/src/coordination/scheduling/capacity_survey.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Sums over the fleet's capacity, so that a heartbeat need not look at every machine.
+/// Totals over the capacity of all machines, so that a heartbeat does not have to visit every machine.
 #pragma once
 
 #include <array>
@@ -12,34 +12,36 @@
 
 namespace robinford::coordination {
 
-/// Knows how much capacity the fleet has, and whether waiting arrays should leave a machine to others.
-/// Counted anew at most every `kSurveyEveryS`; in between only placed array tasks are subtracted.
+/// Totals of fleet capacity and array demand, from which it is decided whether arrays should leave a machine
+/// free. Recomputed at most every `kSurveyEveryS`; in between, only the demand of placed array tasks is
+/// subtracted.
 class CapacitySurvey {
  public:
-  /// The references must outlive the survey.
+  /// The references must outlive the object.
   CapacitySurvey(ControllerContext& context, const ArrivalHistory& arrivals)
       : context_(context), arrivals_(arrivals) {}
 
-  /// The next `refresh_if_due` counts. The sums stay until then.
+  /// Makes the next `refresh_if_due` recompute the totals. They keep their values until then.
   void expire() { next_refresh_ = 0; }
-  /// `queues`: the arrays with tasks to place, by team.
+  /// Recomputes the totals if they are due. `queues`: the arrays with tasks to place, by team.
   void refresh_if_due(const QueueOrder::Queues& queues);
   void array_task_placed(const protocol::JobSpec& spec) { array_demand_cpus_ -= spec.cpus; }
 
-  /// Of all machines that are up or booting.
+  /// Cpus of all machines that are up or booting.
   double supply_cpus() const { return supply_cpus_; }
-  /// Of unplaced array tasks, each team's up to its limit.
+  /// Cpus of all unplaced array tasks, for each team at most its remaining quota.
   double array_demand_cpus() const { return array_demand_cpus_; }
-  /// Whether machines that arrays should fill before this one have free capacity for all unplaced array
-  /// tasks. They send heartbeats before long, too.
+  /// Whether the machines of classes that arrays should fill before this one have more free cpus than all
+  /// unplaced array tasks need. Arrays can then leave this machine free, since the others send their
+  /// heartbeats soon, too.
   bool arrays_fit_preferred_machines(const bookkeeping::Machine& machine) const;
 
  private:
-  // In the order in which arrays fill machines.
+  // Listed in the order in which arrays should fill machines.
   enum class CapacityClass : std::uint8_t {
-    kSpot,          // cheapest
-    kOrdinary,      // of no use to gangs, or with a gang already
-    kKeptForGangs,  // free for a gang that takes most of it
+    kSpot,          // spot machines, the cheapest
+    kOrdinary,      // not kept for gangs, or already with a gang
+    kKeptForGangs,  // without a gang, and suitable for gangs whose tasks take most of a machine
   };
   static constexpr std::size_t kClasses = 3;
   CapacityClass class_of(const bookkeeping::Machine& machine) const;
@@ -50,7 +52,8 @@
   double next_refresh_ = 0;
   double supply_cpus_ = 0;
   double array_demand_cpus_ = 0;
-  std::array<double, kClasses> preferred_free_cpus_{};  // by class: free on machines of the classes before it
+  // By class: free cpus on machines of all preceding classes.
+  std::array<double, kClasses> preferred_free_cpus_{};
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: rounds over the waiting gangs, and the reservations that a gang takes in them. docs/design.md,
-/// section "What was kept".
+/// Scheduler: placement rounds, in which waiting gangs reserve capacity. docs/design.md, section "What was
+/// kept".
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -20,7 +20,8 @@
 using bookkeeping::Machine;
 using protocol::JobSpec;
 
-// Whether anything changed since the last round that may let a gang start.
+// Returns whether anything changed since the last round that may let a gang start, and clears the flags for
+// it.
 bool Scheduler::take_round_request() {
   const bool due = round_requested_ || placements_.capacity_freed() || machine_records_.written();
   round_requested_ = false;
@@ -46,7 +47,7 @@
   place_arrays_directly();
 }
 
-// Moves gangs on to their next state, and lists those that wait for capacity.
+// Advances the state of each active gang, and collects the gangs that wait for capacity.
 void Scheduler::advance_gangs() {
   waiting_gangs_.clear();
   for (auto& [id, job] : context_.jobs.all()) {
@@ -56,17 +57,17 @@
   }
 }
 
-// What the gangs of one round share.
+// State of one placement round, shared by all gangs that it considers.
 struct Scheduler::GangRound {
   std::vector<Offer> open;             // machines with free capacity
-  std::vector<const JobSpec*> failed;  // gangs that found no capacity in this round
-  int searches = 0;                    // for work to preempt
+  std::vector<const JobSpec*> failed;  // gangs that could not be placed in this round
+  int searches = 0;                    // searches for tasks to preempt
   int claims = 0;                      // gangs that claimed machines
 };
 
 namespace {
 
-// Added before a product is rounded down: it may fall just short of the whole number that is meant.
+// Added before a product is rounded down: by rounding, it may be slightly less than the exact whole number.
 constexpr double kCountRounding = 1e-9;
 
 struct WaitingGang {
@@ -74,8 +75,8 @@
   Job* job;
 };
 
-// Whether `spec` can't find capacity where `failed` found none: it asks for as much or more, of machines by
-// the same rules.
+// Whether `spec` cannot be placed if `failed` could not: it requires at least as many resources and tasks,
+// and has the same placement constraints.
 bool asks_no_less(const JobSpec& spec, const JobSpec& failed) {
   return failed.cpus <= spec.cpus && failed.gpus <= spec.gpus && failed.memory_gb <= spec.memory_gb &&
          failed.tasks <= spec.tasks && failed.spot == spec.spot && failed.zone == spec.zone &&
@@ -95,7 +96,7 @@
   for (auto& [name, machine] : context_.machines.all())
     if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
       round.open.push_back({&machine, 0, 0});
-  // The teams' shares move with each placement, so the next gang is chosen afresh after each.
+  // Each placement changes the share in use of a team, so the best rank is determined again for each gang.
   while (!queue.empty()) {
     const auto best = std::min_element(
         queue.begin(), queue.end(),
@@ -115,7 +116,8 @@
   for (const auto& offer : round.open) offer.machine->offered = true;
 }
 
-// Places the gang, or else begins to make capacity for it. Returns whether it was placed.
+// Reserves capacity for the gang. If that fails, preempts other work or claims machines for it, when due.
+// Returns whether capacity was reserved.
 bool Scheduler::try_place_gang(Job& job, GangRound& round) {
   const double now = context_.now.steady;
   const bool known_to_fail =
@@ -140,8 +142,8 @@
   return false;
 }
 
-// What waiting gangs need of their teams' limits is not for arrays to take, also while it is still being
-// freed: otherwise arrays take it back task by task and the gang never gets the whole.
+// Withholds the quota that waiting gangs need from the arrays of their teams, also while preemption is still
+// freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve.
 void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
@@ -158,7 +160,7 @@
   }
 }
 
-// The open machines that can take tasks of the gang, with the number that each can take.
+// Returns those of the machines in `open` that can run tasks of the gang, with the number of tasks that fit.
 std::vector<Offer> Scheduler::offers_for(const Job& job, const std::vector<Offer>& open) {
   const double now = context_.now.steady;
   std::vector<Offer> offers;
@@ -170,7 +172,8 @@
     if (avoided != job.avoid.end() && now < avoided->second) continue;
     if (machine.reserved_by && *machine.reserved_by != job.spec.id && now < machine.reserved_until) continue;
     if (claimed_machines_.contains(machine.name)) continue;
-    // An earlier attempt of this gang stays listed there: a new one might be refused.
+    // An earlier, directly launched attempt of this gang stays listed on the worker, which might refuse a new
+    // one.
     const bool earlier_attempt =
         std::any_of(machine.direct.begin(), machine.direct.end(),
                     [&](const auto& entry) { return entry.first.job == job.spec.id; });
@@ -182,14 +185,14 @@
   return offers;
 }
 
-// Reserves capacity for the whole gang; false if it does not fit. Removes machines without free capacity from
-// `open`.
+// Reserves capacity for all tasks of the gang. Returns false if they do not fit. Removes machines that have
+// no free cpus left from `open`.
 bool Scheduler::reserve_for_gang(Job& job, std::vector<Offer>& open) {
   auto offers = offers_for(job, open);
   std::uint32_t slots = 0;
   for (const auto& offer : offers) slots += offer.slots;
   if (slots < job.spec.tasks) return false;
-  // Extra reservations only where the team's limit and the free capacity allow them.
+  // `overbook` asks for extra reservations, which are made only as far as quota and free capacity allow.
   auto extra =
       static_cast<std::uint32_t>(std::floor(job.spec.tasks * context_.policy.overbook + kCountRounding));
   while (extra > 0 && !context_.quota.allows(job.spec, job.spec.tasks + extra)) --extra;
@@ -200,7 +203,7 @@
     Machine& machine = *context_.machines.find(assignment.machine);
     for (std::uint32_t i = 0; i < assignment.tasks; ++i) placements_.add_reservation(job, machine);
     if (machine.reserved_by == job.spec.id) machine.reserved_by.reset();
-    // With long heartbeat intervals the leader asks for the heartbeat that confirms the reservation.
+    // Where launches are direct, a probe confirms the reservation earlier than the next regular heartbeat.
     if (direct_commands_.launches_directly() && direct_commands_.can_send()) direct_commands_.probe(machine);
   }
   std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
@@ -208,9 +211,10 @@
   return true;
 }
 
-// A wide gang that has waited for long keeps the machines that are free for it out of reach of the gangs
-// after it, for this round: otherwise narrow ones take each as it comes free. Arrays may use them meanwhile,
-// since they step back.
+// Sets machines aside for a gang that has waited for more than `kClaimAfterS`: gangs considered later in this
+// round cannot use them. Otherwise gangs with fewer tasks would take each machine as it becomes free, and a
+// gang with many tasks would starve. Arrays may still use the machines, since a gang can preempt arrays of
+// lower priority.
 void Scheduler::claim_machines(const Job& job) {
   std::uint32_t left = job.spec.tasks;
   for (auto& [name, machine] : context_.machines.all()) {
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: how a gang goes from reservations to running, and how it is stopped. docs/design.md, section
-/// "What was kept".
+/// Scheduler: the states of a gang from queued to running, and how gangs and runs are stopped.
+/// docs/design.md, section "What was kept".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -27,11 +27,12 @@
   switch (job.gang) {
     case GangState::kQueued:
       if (job.runs.empty()) return;
-      // Taken over from an earlier leader: whole, or it has to start again.
+      // An earlier leader launched it. It goes on if all tasks run; otherwise all are stopped and it is
+      // queued again.
       if (complete_set)
         JobLedger::set_gang(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
-        stop_gang(job, StopMode::kImmediate, "found incomplete by a new leader");
+        stop_gang(job, StopMode::kImmediate, "a new leader found only some of its tasks");
       return;
     case GangState::kReserving: {
       const auto confirmed = std::count_if(job.reservations.begin(), job.reservations.end(),
@@ -41,7 +42,7 @@
           job.reservations.begin(), job.reservations.end(),
           [&](const auto& reservation) { return !reservation.confirmed && now > reservation.expires_at; });
       if (!expired) return;
-      spdlog::info("gang {}: reservations expired, queued again", name_of(job));
+      spdlog::info("gang {}: reservations expired before enough were confirmed; queued again", name_of(job));
       context_.metrics.count("reservations_expired");
       placements_.release_reservations(job);
       JobLedger::set_gang(job, GangState::kQueued, now);
@@ -55,7 +56,7 @@
       if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
       if (now - job.gang_since >
           c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
-        stop_gang(job, StopMode::kImmediate, "its tasks did not all start");
+        stop_gang(job, StopMode::kImmediate, "not all its tasks started in time");
       return;
     }
     case GangState::kRunning:
@@ -89,7 +90,7 @@
   const auto found = job.runs.find(index);
   if (found == job.runs.end()) return;
   if (found->second.state == RunState::kPlanned) {
-    placements_.remove_run(job, index);  // never sent
+    placements_.remove_run(job, index);  // the launch was never sent
     return;
   }
   found->second.stop_grace = grace_s;
@@ -99,7 +100,7 @@
 }
 
 void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
-  spdlog::info("gang {}: all stop: {}", name_of(job), why);
+  spdlog::info("gang {}: stopping all its tasks: {}", name_of(job), why);
   placements_.release_reservations(job);
   JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
   const double grace_s = mode == StopMode::kGraceful && job.spec.checkpoint_s > 0
--- a/src/coordination/scheduling/machine_kind.hpp
+++ b/src/coordination/scheduling/machine_kind.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The properties of a machine that jobs choose by.
+/// The properties of a machine that job specifications can require.
 #pragma once
 
 #include <compare>
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Implements the rules of placement.
+/// Implements the placement rules and the mapping of gangs.
 #include "coordination/scheduling/placement.hpp"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
     if (const Job* job = context.jobs.find(unknown_task.task.job))
       resources.take(job->spec);
     else
-      return {};  // its size is unknown until it is gone
+      return {};  // the job is unknown, so the size of its task is, too
   }
   return resources;
 }
@@ -108,8 +108,8 @@
 
 namespace {
 
-// Zones with most free capacity first, and in each the machines with most; those with the image before
-// others.
+// Sorts the zones by their free cpus and the machines of each zone by theirs, largest first. With equal free
+// cpus, machines that have the image come first.
 void sort_offers(std::vector<Offer>& offers) {
   std::map<std::string, double> zone_free_cpus;
   for (const auto& offer : offers) zone_free_cpus[offer.machine->zone] += offer.free_cpus;
@@ -124,7 +124,8 @@
   });
 }
 
-// Leaves only the offers of the first zone that can take `needed` tasks; none if there is no such zone.
+// Keeps only the offers of the first zone with slots for `needed` tasks; removes all if there is no such
+// zone.
 void keep_one_zone(std::vector<Offer>& offers, std::uint32_t needed) {
   std::map<std::string, std::uint32_t> zone_slots;
   for (const auto& offer : offers) zone_slots[offer.machine->zone] += offer.slots;
@@ -136,7 +137,7 @@
   std::erase_if(offers, [&](const Offer& offer) { return offer.machine->zone != zone; });
 }
 
-// Distributes tasks over sorted offers.
+// Distributes tasks over sorted offers, in one or several passes.
 class GangMapper {
  public:
   GangMapper(std::vector<Offer> offers, std::uint32_t max_tasks, std::uint32_t max_tasks_per_zone)
@@ -145,7 +146,8 @@
         max_tasks_(max_tasks),
         max_tasks_per_zone_(max_tasks_per_zone) {}
 
-  // Gives each machine up to `per_machine` more tasks; returns how many were placed.
+  // Assigns up to `per_machine` more tasks to each machine. Returns the number of tasks assigned in this
+  // pass.
   std::uint32_t run_pass(std::uint32_t per_machine) {
     const std::uint32_t before = placed_;
     for (std::size_t i = 0; i < offers_.size() && placed_ < max_tasks_; ++i) {
@@ -169,7 +171,7 @@
 
  private:
   std::vector<Offer> offers_;
-  std::vector<std::uint32_t> taken_;  // slots of the offer with the same index
+  std::vector<std::uint32_t> taken_;  // slots in use of the offer with the same index
   std::map<std::string, std::uint32_t> in_zone_;
   std::uint32_t placed_ = 0;
   std::uint32_t max_tasks_;
@@ -186,9 +188,9 @@
   const std::uint32_t max_tasks = needed + extra;
   GangMapper mapper(std::move(offers), max_tasks, spec.spread ? (needed + 1) / 2 : max_tasks);
   if (concentrate) {
-    mapper.run_pass(max_tasks);  // a machine is filled before the next
+    mapper.run_pass(max_tasks);  // fills each machine before the next one
   } else {
-    // One task a machine down the list, from the top again until nothing more fits.
+    // Each pass assigns one task to each machine, until a pass finds no free slot.
     while (mapper.run_pass(1) > 0) {
     }
   }
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Where tasks may go, and the mapping of a gang onto machines. docs/design.md, section "What was kept".
+/// Which machines may run a task, and the mapping of a gang onto machines. docs/design.md, section "What was
+/// kept".
 #pragma once
 
 #include <map>
@@ -14,54 +15,55 @@
 
 using bookkeeping::Resources;
 
-/// Capacity less every run, reservation and unknown task on the machine. The result is kept on the machine
-/// and counted anew when one of them has changed.
+/// The machine's capacity minus all runs, reservations and unknown tasks on it. The result is cached in the
+/// machine and recomputed after one of them has changed.
 const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
-/// The same, always counted. Nothing is free while a task of unknown size is on the machine.
+/// The same without the cache. Returns zero resources while a task of unknown size is on the machine.
 Resources compute_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
-/// Whether the job's owner allows machines of this type, zone and price (spot or not).
+/// Whether the job specification allows machines of this type, zone and price model (`spot`).
 bool kind_allowed(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
-/// Whether anything may be placed on the machine: it is up, sent a heartbeat lately, is not cordoned, and the
-/// cloud has not announced its interruption.
+/// Whether tasks may be placed on the machine: it is up, has sent a recent heartbeat, is not cordoned, its
+/// capacity is known, and the cloud has not announced its interruption.
 bool takes_work(const ControllerContext& context, const bookkeeping::Machine& machine);
 
-/// Whether the machine runs tasks of a gang, or holds capacity for some.
+/// Whether gang tasks are placed on the machine, or capacity is reserved there for a gang.
 inline bool has_gang(const bookkeeping::Machine& machine) {
   return machine.gang_tasks > 0 || !machine.reservations.empty();
 }
 
-/// The job's tasks by zone, old attempts and reservations included; tasks whose place is unknown count for
-/// every zone.
+/// Number of the job's tasks in each zone, including reservations and unknown tasks of earlier attempts.
 struct ZoneCount {
   std::map<std::string, std::uint32_t> tasks;
-  std::uint32_t unknown = 0;
+  std::uint32_t unknown = 0;  // on machines that are not in the ledger: may be in any zone
 };
 ZoneCount count_tasks_by_zone(ControllerContext& context, const bookkeeping::Job& job,
                               const std::set<std::string>& unknown_task_machines);
-/// Whether one more task in the zone keeps the job's zone rules; `tasks` is updated by the caller.
+/// Whether one more task in the zone complies with the zone rules of the job (`one_zone`, `spread`). Does not
+/// add the task to `zones`.
 bool zone_allowed(const protocol::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
-/// How many more tasks of the job the machine may take by the limits `jobs_per_machine` and `tasks_per_job`
-/// of the policy.
+/// How many more tasks of the job the machine may run under the policy limits `jobs_per_machine` and
+/// `tasks_per_job`. Does not consider free resources.
 std::uint32_t slots_within_policy(ControllerContext& context, const bookkeeping::Job& job,
                                   const bookkeeping::Machine& machine);
 
-/// Tasks of a gang that go to one machine.
+/// Number of tasks of a gang that are assigned to one machine.
 struct Assignment {
   std::string machine;
   std::uint32_t tasks = 0;
 };
-/// What one machine can take of a gang.
+/// Capacity of one machine for tasks of a gang.
 struct Offer {
   bookkeeping::Machine* machine = nullptr;
   std::uint32_t slots = 0;
   double free_cpus = 0;
-  bool has_image = false;  // has the image
+  bool has_image = false;  // the job's image is cached on the machine
 };
-// Places for `needed` tasks and up to `extra` more; nothing when they don't all fit. Zones, then machines,
-// most free capacity first; a one-zone gang stays in one zone.
+// Assigns `needed` tasks and up to `extra` more to the offers; returns nothing if the `needed` tasks do not
+// fit. Zones and machines with the most free cpus come first. A gang with `one_zone` stays in one zone, and
+// one with `spread` has at most half of its tasks, rounded up, in each zone.
 std::optional<std::vector<Assignment>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
                                                 std::uint32_t needed, std::uint32_t extra, bool concentrate);
 
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Largest difference in cpus that adding and subtracting amounts in different orders may leave.
+// Largest difference in cpus that is attributed to rounding: totals depend on the order of their summands.
 constexpr double kAuditTolerance = 1e-4;
 
 bool differ(double counted, double running) { return std::abs(counted - running) > kAuditTolerance; }
@@ -31,8 +31,9 @@
   unqueued_array_task_ = false;
 }
 
-// How long the job waited for capacity within its team's limit. Jobs of earlier leaders, and those to which
-// another controller granted capacity, were counted there.
+// Records how long the job waited for its first capacity. Jobs of earlier leaders and jobs with capacity
+// granted from a quota lease are left out: the earlier leader or the granting controller has recorded their
+// wait.
 void Placements::record_grant_wait(Job& job) {
   if (std::exchange(job.was_placed, true) || job.before || context_.quota.granted(job.spec.id)) return;
   context_.metrics.record(Metrics::Spread::kGrantWait, context_.now.steady - job.known_at);
@@ -139,8 +140,8 @@
     const double counted_cpus = cpus_of(counted, team.name);
     const double running_cpus = cpus_of(running, team.name);
     if (differ(counted_cpus, running_cpus))
-      return "team " + team.name + " uses " + std::to_string(counted_cpus) + " cpus, the accounts say " +
-             std::to_string(running_cpus);
+      return "team " + team.name + " uses " + std::to_string(counted_cpus) +
+             " cpus, but its quota account has " + std::to_string(running_cpus);
   }
   return {};
 }
@@ -149,8 +150,8 @@
   const Resources free = compute_free_resources(context_, machine);
   if (machine.free_resources_known && machine.unknown_tasks.empty() &&
       differ(free.cpus, machine.free_resources.cpus))
-    return "machine " + machine.name + " has " + std::to_string(free.cpus) + " cpus free, the accounts say " +
-           std::to_string(machine.free_resources.cpus);
+    return "machine " + machine.name + " has " + std::to_string(free.cpus) +
+           " cpus free, but its cached value is " + std::to_string(machine.free_resources.cpus);
   double gang_cpus = 0;
   for (const auto& task : machine.tasks)
     if (const Job* job = context_.jobs.find(task.job); job != nullptr && job->spec.gang)
@@ -161,7 +162,8 @@
       if (reservation.machine == machine.name) gang_cpus += job->spec.cpus;
   }
   if (differ(gang_cpus, machine.gang_cpus))
-    return "machine " + machine.name + ": gangs take " + std::to_string(gang_cpus);
+    return "machine " + machine.name + ": its total of gang cpus is not the recounted " +
+           std::to_string(gang_cpus);
   return {};
 }
 
@@ -170,7 +172,8 @@
     for (const auto& [index, run] : job->runs) {
       const Machine* machine = context_.machines.find(run.machine);
       if (machine == nullptr || !machine->tasks.contains({id, index}))
-        return "a run of " + protocol::job_id_text(job->spec.id) + " is on no machine's list";
+        return "a run of " + protocol::job_id_text(job->spec.id) +
+               " is missing from its machine's list of tasks";
     }
   return {};
 }
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: capacity and limits freed for a gang by stopping work of lower priority.
+/// Scheduler: preempts array tasks of lower priority to free machine capacity or quota for a gang.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -22,8 +22,8 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// The limit of a gang's team is used up: its own arrays of lower priority step back, fewest lost_cpu_s
-// seconds first.
+// Frees quota for a gang whose team has used its limit: stops tasks of the team's own arrays of lower
+// priority, those that lose the fewest cpu seconds first.
 void Scheduler::free_quota_for(Job& job) {
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
@@ -54,7 +54,7 @@
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
-  if (possible < excess) return;  // other gangs use the limit: it waits for them
+  if (possible < excess) return;  // other gangs use the rest of the quota: it waits for them to end
   job.quota_freed_until = now + c::kReserveS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
@@ -66,22 +66,23 @@
     context_.metrics.count("preempted");
   }
   if (stopped > 0)
-    spdlog::info("gang {}: {} tasks of its own team stopped for the team's limit", name_of(job), stopped);
+    spdlog::info("gang {}: {} tasks of its own team preempted to free the team's quota", name_of(job),
+                 stopped);
   send_stops();
 }
 
-// A machine on which the gang gets capacity if these tasks stop.
+// Tasks of one machine that have to stop to make one task of the gang fit there.
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost_cpu_s;  // cpu seconds of its run so far
+    double lost_cpu_s;  // used by its run so far, and lost when it stops
   };
   Machine* machine;
   std::vector<Victim> victims;
-  double lost_cpu_s = 0;  // of all of them
+  double lost_cpu_s = 0;  // total of the victims
 };
 
-// Whether capacity is being made for the gang already.
+// Whether a machine is already reserved for the gang after a preemption.
 bool Scheduler::has_reserved_machine(const Job& job) const {
   const auto& machines = context_.machines.all();
   return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
@@ -90,8 +91,8 @@
   });
 }
 
-// The fewest tasks of lower priority that have to stop for one task of the gang, those that lose least first.
-// Empty when no tasks on the machine are enough.
+// Selects array tasks of lower priority on the machine, those that lose the fewest cpu seconds first, until
+// one task of the gang fits. Returns nothing if it does not fit even without all of them.
 std::optional<Scheduler::PreemptionOption> Scheduler::preemption_option(const Job& job, Machine& machine) {
   using Victim = PreemptionOption::Victim;
   std::vector<Victim> candidates;
@@ -116,7 +117,8 @@
   return option;
 }
 
-// Stops the tasks, and keeps the machine for the gang.
+// Stops the selected tasks and reserves the machine for the gang for a limited time, so that no other work
+// takes the freed capacity.
 void Scheduler::preempt(const Job& job, const PreemptionOption& option) {
   option.machine->reserved_by = job.spec.id;
   option.machine->reserved_until =
@@ -131,7 +133,8 @@
                option.victims.size(), option.machine->name, option.lost_cpu_s);
 }
 
-// Capacity for a gang is made from work of lower priority, fewest lost seconds first.
+// Frees capacity for the gang by preempting tasks of lower priority on as many machines as it still needs,
+// those that lose the fewest cpu seconds first.
 void Scheduler::preempt_for(const Job& job) {
   const double now = context_.now.steady;
   if (has_reserved_machine(job)) return;
@@ -149,7 +152,8 @@
     else if (auto option = preemption_option(job, machine))
       options.push_back(std::move(*option));
   }
-  if (free_slots >= job.spec.tasks) return;  // count is not what keeps it waiting (zones, say)
+  if (free_slots >= job.spec.tasks)
+    return;  // slots are not what it lacks; the zone rules may prevent its placement
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
   std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -22,8 +22,8 @@
             time_left(job),
             job.submitted_ms,
             job.spec.id};
-  // Work that has waited for long comes before the turn of the shares, oldest first: none starves, the
-  // largest least.
+  // Jobs that have waited for too long come first among jobs with equal `borrows` and `priority`, ordered by
+  // submission instead of share. Otherwise jobs could starve, large ones most of all.
   const bool gang_overdue = job.spec.gang && context_.now.steady - job.known_at > c::kClaimAfterS;
   if (gang_overdue || waited_too_long(job)) {
     rank.tier = -1;
@@ -74,7 +74,8 @@
     queues_[job->spec.team].push_back(job.get());
     ranks.emplace(job.get(), rank(*job, 1));
   }
-  // The share is the same for all jobs of a team, and whether it borrows changes with each placement.
+  // `share` is equal for all jobs of a team, and `borrows` changes with each placement, so neither is part of
+  // the key.
   const auto sort_key = [&](const Job* job) {
     const Rank& of_job = ranks.at(job);
     return std::tuple(of_job.priority, of_job.tier, of_job.time_left_s, of_job.submitted, of_job.id);
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// In which order jobs get capacity: their ranks, and the queues of the arrays.
+/// The order in which jobs get capacity: ranks of all jobs, and one queue of arrays per team.
 #pragma once
 
 #include <compare>
@@ -13,49 +13,51 @@
 
 namespace robinford::coordination {
 
-/// The place of a job in the order; members in order of their weight, the smaller first.
+/// Sort key of a job; the lowest rank gets capacity first. Members are compared in the order of declaration.
 struct Rank {
-  bool borrows = false;        // its team would use more than its guarantee
-  int priority = 0;            // negated
-  int tier = 0;                // `Job::tier`; -1: has waited for too long
-  double share = 0;            // of the team's share that is in use
-  double time_left_s = 0;      // until it should be over
+  bool borrows = false;        // placing it takes its team above its guarantee
+  int priority = 0;            // the job's priority, negated
+  int tier = 0;                // `Job::tier`; -1 for a job that has waited for too long
+  double share = 0;            // what the team uses, in relation to its share
+  double time_left_s = 0;      // until the job should be over
   std::int64_t submitted = 0;  // time of day, ms
   protocol::JobId id{};
   // NOLINTNEXTLINE(modernize-use-nullptr): a false positive of clang-tidy 14 on defaulted comparisons.
   auto operator<=>(const Rank&) const = default;
 };
 
-/// Ranks jobs, and keeps for each team a queue of its arrays with tasks to place. The queues are sorted anew
-/// at most every `kQueuesEveryS`, so that a heartbeat does not walk all jobs; a queue may in between name
-/// jobs that have no task to place any more, but none that was erased (see `sort`).
+/// Ranks jobs, and keeps for each team a queue of its arrays with tasks to place. The queues are rebuilt at
+/// most every `kQueuesEveryS`, so that a heartbeat does not visit all jobs. Until the next rebuild, a queue
+/// may contain jobs whose tasks are all placed, but no job that was erased from the ledger (see `sort`).
 class QueueOrder {
  public:
   using Queues = std::map<std::string, std::vector<bookkeeping::Job*>>;  // by team
 
-  /// The references must outlive the order.
+  /// The references must outlive the object.
   QueueOrder(ControllerContext& context, const RunTimes& run_times)
       : context_(context), run_times_(run_times) {}
 
-  /// Seconds until the job should be over: by its own deadline, by its class's objective or by its expected
-  /// run time, and in time for the jobs that depend on it. Negative if it is late.
+  /// Seconds until the job should be over; negative if it is late. The due time follows from the job's
+  /// deadline, else from the objective of its class, else from its expected run time, and is never later than
+  /// the jobs that depend on it allow.
   double time_left(const bookkeeping::Job& job) const;
-  /// Seconds that a job should take from the moment when it is ready, with the transfer of its image.
+  /// Expected time in seconds from the job becoming eligible to its end, including the transfer of its image.
   double expected_duration(const bookkeeping::Job& job) const;
-  /// An array of which nothing has run for `kArrayLongestWaitS`: it has to begin.
+  /// Whether the job is an array that this leader has known for more than `kArrayLongestWaitS` and of which
+  /// no task has started.
   bool waited_too_long(const bookkeeping::Job& job) const;
-  /// `tasks`: how many would be placed at once.
+  /// Returns the rank of the job if `tasks` of its tasks were placed at once.
   Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
 
-  /// Empties the queues; the next `sort` is due at once.
+  /// Empties the queues and makes the next `sort` due at once.
   void clear();
-  /// An array has tasks to place that is in no queue, or a queued job is over.
+  /// Marks the queues as outdated, for instance because an array was admitted or a queued job is over.
   void mark_changed() { changed_ = true; }
   bool changed() const { return changed_; }
-  /// Whether the last sorting is old enough for another.
+  /// Whether `kQueuesEveryS` has passed since the last `sort`.
   bool sort_due() const { return context_.now.steady >= next_sort_; }
-  /// Fills and sorts the queues. To be called before jobs that may be in a queue are erased from the ledger,
-  /// once they are over.
+  /// Rebuilds and sorts the queues. Must be called after jobs are over and before they are erased from the
+  /// ledger; otherwise a queue would keep dangling pointers to them.
   void sort();
   const Queues& queues() const { return queues_; }
 
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -20,7 +20,8 @@
 void RunTimes::record_completion(Job& job, double ran_s) {
   job.ran_sum += ran_s;
   ++job.ran_count;
-  // A large array must not drown all other jobs of its class.
+  // Only the first completions of each job count, so that a large array does not outweigh all other jobs of
+  // its class.
   if (job.spec.estimate_s <= 0 || job.ran_count > c::kLearnTasksOfJob) return;
   auto& times = classes_[job.spec.job_class];
   const double weight = std::max(c::kLearnWeight, 1.0 / ++times.completion_count);
@@ -34,8 +35,6 @@
                  times.log_error_mean, times.log_error_variance);
 }
 
-// The owner's estimate, put right by what the class is usually off by, and drawn towards the class's
-// usual run time the more the estimates scatter.
 double RunTimes::expected(const Job& job) const {
   return job.ran_count >= c::kLearnOwnTasks ? job.ran_sum / job.ran_count : expected(job.spec);
 }
@@ -46,10 +45,13 @@
   if (spec.estimate_s <= 0) return known ? std::exp(found->second.log_run_mean) : c::kUnknownRunS;
   const double estimate = std::log(spec.estimate_s);
   if (!known) {
-    // Before anything of the class has run, other owners' estimates temper one that is far off.
+    // Until enough tasks of the class have completed, the estimate is averaged with those of other jobs of
+    // the class, so that a single wrong estimate has less effect.
     if (found == classes_.end() || found->second.estimate_count < c::kLearnOwnTasks) return spec.estimate_s;
     return std::exp(c::kEstimateTrust * estimate + (1 - c::kEstimateTrust) * found->second.log_estimate_mean);
   }
+  // The estimate is corrected by the mean error of its class, and weighted against the mean run time of the
+  // class: the more the errors of the estimates vary, the less the estimate counts.
   const auto& times = found->second;
   const double trust =
       (times.log_run_variance + 0.01) / (times.log_run_variance + times.log_error_variance + 0.02);
--- a/src/coordination/scheduling/run_times.hpp
+++ b/src/coordination/scheduling/run_times.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long tasks run.
+/// Predicts how long tasks run.
 #pragma once
 
 #include <map>
@@ -9,29 +9,31 @@
 
 namespace robinford::coordination {
 
-/// Predicts run times from the owners' estimates, corrected by completions of the same class of jobs.
-/// Outlives a term of leadership; nothing of safety depends on it.
+/// Predicts run times from the owners' estimates, corrected by completions of the same class of jobs. It is
+/// kept across terms of leadership. The predictions affect only the order of placement and the size of the
+/// fleet, not safety.
 class RunTimes {
  public:
-  /// A job came, with its owner's estimate.
+  /// Records the owner's estimate of a job that became eligible.
   void record_estimate(const protocol::JobSpec& spec);
-  /// A task of the job ran for `ran` seconds to its end.
+  /// Records that a task of the job succeeded after running for `ran_s` seconds.
   void record_completion(bookkeeping::Job& job, double ran_s);
-  /// Expected run time of a task, in s. The job's own completions count above all.
+  /// Expected run time of a task of the job, in s: the mean of the job's own completions once there are
+  /// `kLearnOwnTasks` of them.
   double expected(const bookkeeping::Job& job) const;
-  /// Expected run time of a task of a job that has not completed any, in s.
+  /// Expected run time of a task, in s, from the owner's estimate and the completions of the job's class.
   double expected(const protocol::JobSpec& spec) const;
 
  private:
-  // What completions tell of a class, in natural logarithms: its run times, and how far the owners' estimates
-  // are off.
+  // Moving averages and variances for one class of jobs, of natural logarithms: of the run time, and of the
+  // ratio of run time to estimate (the error of the estimate).
   struct ClassTimes {
     double log_run_mean = 0;
     double log_run_variance = 0;
     double log_error_mean = 0;
     double log_error_variance = 0;
     int completion_count = 0;
-    double log_estimate_mean = 0;  // mean of the owners' estimates, also in logarithms
+    double log_estimate_mean = 0;  // mean of the owners' estimates
     int estimate_count = 0;
   };
   std::map<std::string, ClassTimes> classes_;
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: construction, phases, the tick, and why jobs wait.
+/// Scheduler: construction, leader phases, periodic work, and the reasons for which jobs wait.
 #include "coordination/scheduling/scheduler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -66,17 +66,18 @@
 
 std::string Scheduler::audit() {
   if (phase_ == LeaderPhase::kNone || phase_ == LeaderPhase::kLoading)
-    return {};  // the sums begin when the ledger is read
+    return {};  // the totals are kept from the end of loading on
   if (auto difference = placements_.audit(); !difference.empty()) return difference;
   const auto& machines = context_.machines.all();
   const auto unreconciled = std::count_if(machines.begin(), machines.end(),
                                           [](const auto& entry) { return entry.second.unreconciled; });
   if (static_cast<std::size_t>(unreconciled) == unreconciled_.count()) return {};
-  return std::to_string(unreconciled) + " machines are unreconciled, the accounts say " +
+  return std::to_string(unreconciled) + " machines are unreconciled, but their counter says " +
          std::to_string(unreconciled_.count());
 }
 
-// The machine has proved what is on it, or that nothing of an earlier leader can be.
+// Called when the machine's tasks are known: its heartbeat listed them, or its lease or the machine itself
+// ended.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
     round_requested_ = true;
@@ -96,9 +97,9 @@
   assign_array_tiers(context_, run_times_, queue_order_, capacity_survey_.supply_cpus());
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- periodic work
 
-// One line whenever the reason changes for which a job with nothing placed waits.
+// Logs why a job with no run and no reservation waits, once for each change of the reason.
 void Scheduler::log_wait_reasons() {
   if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_wait_log_) return;
   next_wait_log_ = context_.now.steady + c::kLogWaitsEveryS;
@@ -142,7 +143,7 @@
     change_log_.delete_uncollected();
   }
   if (phase_ == LeaderPhase::kServing) {
-    // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
+    // Reservations and backoffs expire without any event, so rounds are also needed while nothing happens.
     if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2))
       round_requested_ = true;
     run_placement_round();
@@ -150,12 +151,12 @@
   }
 }
 const char* Scheduler::wait_reason(const Job& job) const {
-  if (context_.now.steady < job.backoff_until) return "backs off after failures";
+  if (context_.now.steady < job.backoff_until) return "its backoff after failures has not ended";
   if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
-    return "its team's limit is reached";
-  if (job.tier > 0) return "steps back: it would be late anyway";
-  return "no capacity";
+    return "the quota of its team is used up";
+  if (job.tier > 0) return "other arrays go first, since it would miss its due time anyway";
+  return "no machine has free capacity for it";
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The leader's scheduler. Its implementation is in leader/ (recovery, heartbeats, machines, records of jobs)
-/// and scheduling/ (gangs, arrays, preemption).
+/// The leader's scheduler. Its members are implemented in leader/ (recovery, heartbeats, machine liveness,
+/// job records) and in scheduling/ (gangs, arrays, preemption).
 #pragma once
 
 #include <functional>
@@ -30,124 +30,142 @@
 
 namespace robinford::coordination {
 
-/// How far a new leader is. docs/design.md, section "States".
+/// Progress of a new leader until it places work. docs/design.md, section "States".
 enum class LeaderPhase : std::uint8_t {
-  kNone,         // not the leader
-  kLoading,      // reads the ledger
-  kReconciling,  // waits for a full round of heartbeats
-  kServing,      // places
+  kNone,         // this controller is not the leader
+  kLoading,      // reads the durable records of jobs and machines
+  kReconciling,  // waits, for a limited time, for heartbeats of the machines on record
+  kServing,      // places and launches work
 };
 const char* to_text(LeaderPhase phase);
 
-/// The leader's work: takes heartbeats, decides what runs where, and answers with commands. It joins parts
-/// that own their state (arrival history, queue order, placements, unreconciled machines, direct commands,
-/// machine records, cancelled work); what is left here are the decisions that need several of them.
+/// Processes heartbeats, decides which task runs on which machine, and answers with commands. Components with
+/// their own state (arrival history, queue order, placements, unreconciled machines, direct commands, machine
+/// records, cancelled work) are members; this class makes the decisions that involve several of them.
 ///
-/// All state belongs to one term of leadership: `begin` starts from the ledger of the state service, `end`
-/// forgets. Times are seconds on the steady clock unless a name ends in `_ms` (time of day). docs/design.md,
-/// section "States", names the state machines.
+/// The jobs, machines and placements in memory are valid for one term of leadership: `begin` discards them
+/// and loads the durable records from the state service, and `end` discards them. Run times and the arrival
+/// history are kept across terms. Times are seconds on the steady clock unless a name ends in `_ms` (time of
+/// day). docs/design.md, section "States", names the state machines.
 class Scheduler {
  public:
-  /// How answers and direct commands leave the controller. Neither may call back before it returns.
+  /// Callbacks that send heartbeat answers and direct commands. Neither may call into the scheduler before it
+  /// returns.
   struct Actions {
-    /// Answers the heartbeat that came with `key`.
+    /// Answers the heartbeat request identified by `key`.
     std::function<void(std::uint64_t key, int status, std::vector<protocol::Command> commands)> answer;
     std::function<void(const DirectCall& call)> direct;
   };
   /// The references must outlive the scheduler.
   Scheduler(ControllerContext& context, Election& election, const PeerVersions& versions, Actions actions);
 
-  /// This controller was elected: forgets everything and loads the ledger.
+  /// Called when this controller was elected: discards the state of earlier terms and loads the durable
+  /// records.
   void begin();
-  /// This controller is not the leader any more.
+  /// Called when this controller stops leading: answers the heartbeats that are held back and discards the
+  /// state of the term.
   void end();
-  /// Does what is due by time.
+  /// Runs the periodic work that is due.
   void tick();
-  /// Takes a worker's heartbeat; answers it now or, while the ledger is loading, later.
+  /// Processes a worker's heartbeat. Answers it at once, or after loading if the durable records are still
+  /// being read.
   void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
-  /// A heartbeat that equals the one of `base_seq` but for its count. Returns false, and does nothing, if the
-  /// in-memory state is not based on that one: then the whole heartbeat is needed.
+  /// Processes a heartbeat whose content equals that of the heartbeat `base_seq`; only its own sequence
+  /// number `seq` differs. Returns false and changes nothing if the content has to be examined: the in-memory
+  /// state does not reflect `base_seq`, or the machine has a launch in flight or other open work. The caller
+  /// then needs the whole heartbeat.
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
-  /// The answer to the direct command `id`; `heartbeat` is null, and `status` 0, if there was none.
+  /// Processes the answer to the direct command `id`. `heartbeat` is null and `status` is 0 if none came.
   void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
-  /// When this term began to place; 0 before the first time.
+  /// When this controller last entered the serving phase; 0 if it never did.
   double serving_since() const { return serving_since_; }
   ChangeLog& change_log() { return change_log_; }
   JobLookup& lookup() { return lookup_; }
-  /// What memory says of jobs that wait for others is all that the records say.
+  /// Whether the outcome of every dependency is known; only then may answers about waiting jobs come from
+  /// memory.
   bool dependencies_settled() const { return dependencies_.settled(); }
-  /// Answers about jobs may come from this in-memory state.
+  /// Whether answers about jobs may come from the in-memory state: this controller leads and has loaded all
+  /// durable records.
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
-  /// May launch work: leads, is reconciled, and knows all announced cancellations.
+  /// Whether work may be launched: this controller leads, has reconciled the machines, and knows all
+  /// announced cancellations.
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up();
   }
 
-  /// A job was admitted, and is in the ledger.
+  /// Called when an admitted job was added to the job ledger.
   void job_added(bookkeeping::Job& job);
-  /// The final record is durable (ours or another controller's): nothing of the job may start, all of it must
-  /// go.
+  /// Called when the job's final state is settled: this or another controller wrote the final record, or a
+  /// dependency was cancelled. Stops all runs of the job; none may start any more.
   void job_over(bookkeeping::Job& job, bookkeeping::FinalState state);
-  /// A user cancels the job: nothing of it starts from now on, and its final record is written.
+  /// Cancels the job at a user's request: no task of it starts from now on, and its final record is written.
   void cancel(bookkeeping::Job& job);
-  /// All that the job needs is durably done, or something that it needs is durably cancelled.
+  /// Called when all dependencies of the job are durably done: the job becomes eligible for placement.
   void dependencies_done(bookkeeping::Job& job);
+  /// Called when a dependency of the job is durably cancelled: the job is cancelled as well.
   void dependency_cancelled(bookkeeping::Job& job);
-  /// Another controller wrote about this job.
+  /// Reads the job's durable record, which another controller may have written.
   void read_job(protocol::JobId id);
-  /// Another controller made a cancellation durable.
+  /// Called when another controller made the cancellation of the job durable.
   void on_cancelled_elsewhere(protocol::JobId id);
 
-  /// The cloud lists no machine at all: with none on record either, nothing is to be waited for.
+  /// Called when the cloud lists no machines and the machine ledger is empty: ends the reconciling phase,
+  /// since there is no machine to wait for.
   void on_cloud_empty() {
     if (phase_ == LeaderPhase::kReconciling && unreconciled_.count() == 0)
       reconcile_until_ = context_.now.steady;
   }
-  /// The cloud confirmed that the machine is gone.
+  /// Called when the cloud confirmed that the machine no longer exists.
   void machine_gone(bookkeeping::Machine& machine);
-  /// Takes the machine's capacity from the catalog, if its type is listed.
+  /// Sets the machine's capacity from the catalog if its type is listed there.
   void know_type(bookkeeping::Machine& machine);
-  /// When (steady) the machine's lease has expired for certain.
+  /// Steady time after which the machine's lease has certainly expired, whichever controller answered its
+  /// last heartbeat.
   double lease_over_at(const bookkeeping::Machine& machine) const;
-  /// The last moment (steady) at which any controller can have answered one of its heartbeats.
+  /// Latest steady time at which any controller can have answered a heartbeat of the machine.
   double last_answer_at(const bookkeeping::Machine& machine) const;
-  /// Puts on record that a silent machine gets no answers, once it has been silent for long enough.
+  /// Records durably that the heartbeats of an unresponsive machine are no longer answered, once
+  /// `kUnansweredLeaseShare` of a lease has passed since its last possible answer.
   void stop_answering(bookkeeping::Machine& machine);
-  /// An unresponsive machine that is worth giving up.
+  /// Whether the machine has been unresponsive for long enough to be returned to the cloud.
   bool give_up(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
-  /// Time until the job should be over: by its own due time or by its class's aim.
+  /// See `QueueOrder::time_left`.
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
-  /// What the fleet asks of the arrival history.
+  /// Queries of the fleet to the arrival history; see `ArrivalHistory`.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
   /// See `coordination::has_gang`.
   static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
-  /// Stops all tasks on the machine, those with checkpoints in order.
+  /// Stops all tasks on the machine. Tasks with checkpoints get time to save one.
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
-  /// Gangs that wait for capacity, as of the last round.
+  /// Gangs that were waiting for capacity after the last placement round.
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
   /// See `UnreconciledMachines::count`.
   std::size_t unreconciled_machines() const { return unreconciled_.count(); }
-  /// Compares the running sums with a count of everything. Returns a description of the first difference,
-  /// empty if there is none. For tests.
+  /// Compares the incrementally updated totals with a full recount, for tests. Returns a description of the
+  /// first difference, or an empty string.
   std::string audit();
 
  private:
   enum class HeartbeatSource : std::uint8_t {
-    kWorker,        // sent by the worker itself: it has taken or dropped the answer to the one before
-    kDirectAnswer,  // the answer to a direct command: a launch in the last answer may still be on its way
+    // Sent by the worker on its own schedule: it has received or given up the answer to its previous
+    // heartbeat.
+    kWorker,
+    // Part of the answer to a direct command: a launch in the answer to the previous heartbeat may still be
+    // in flight.
+    kDirectAnswer,
   };
   enum class LaunchPath : std::uint8_t { kHeartbeatAnswer, kDirectCommand };
   enum class StopMode : std::uint8_t {
-    kGraceful,  // tasks with checkpoints get time to save
+    kGraceful,  // tasks with checkpoints get time to save one
     kImmediate,
   };
 
@@ -172,7 +190,7 @@
   void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat,
                        HeartbeatSource source);
   struct HeartbeatContext {
-    bool agent_restarted;  // of the machine, since its last heartbeat
+    bool agent_restarted;  // the machine's agent restarted since its last heartbeat
     HeartbeatSource source;
   };
   void on_agent_restart(bookkeeping::Machine& machine);
@@ -204,7 +222,7 @@
   void probe_if_suspect(bookkeeping::Machine& machine);
   void cordon(bookkeeping::Machine& machine, const char* why);
   void mark_reconciled(bookkeeping::Machine& machine);
-  // ---- placing ----
+  // ---- placement ----
   void update_tiers();
   void sort_queues();
   bool can_place_array_task(const bookkeeping::Job& job, const bookkeeping::Machine& machine,
@@ -247,7 +265,7 @@
   void check_reserving_gangs(bookkeeping::Machine& machine);
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
-  // ---- durable ----
+  // ---- durable records ----
   void live_record_read(protocol::JobId id, const bookkeeping::StateRead& read);
   void update_from_record(bookkeeping::Job& job, const bookkeeping::StateRead& read);
   void add_from_record(protocol::JobId id, const bookkeeping::StateRead& read);
@@ -276,8 +294,10 @@
   JobLookup lookup_;
   Dependencies dependencies_;
   LeaderPhase phase_ = LeaderPhase::kNone;
-  std::uint64_t generation_ = 0;  // of leadership, so that late answers are known as such
-  double term_began_at_ = 0;      // this term
+  // Increases at the start and end of each term. Asynchronous calls capture it, so that an answer that
+  // arrives after the term in which the call was made is ignored.
+  std::uint64_t generation_ = 0;
+  double term_began_at_ = 0;
   double serving_since_ = 0;
   double reconcile_until_ = 0;
   double next_reconcile_check_ = 0;
@@ -285,15 +305,15 @@
   double next_machine_watch_ = 0;
   double next_job_sweep_ = 0;
   double next_wait_log_ = 0;
-  bool round_requested_ = false;       // something changed that may let a gang start
-  bool loading_dependencies_ = false;  // the ledger is read but for what became of some dependencies
+  bool round_requested_ = false;       // since the last round, something changed that may let a gang start
+  bool loading_dependencies_ = false;  // loading, and only the outcome of some dependencies is still unknown
   bool first_launch_seen_ = false;
   std::uint64_t attempt_counter_ = 0;
   struct EarlyHeartbeat {
-    std::uint64_t key;  // to answer it by
+    std::uint64_t key;  // identifies the request to answer
     protocol::Heartbeat heartbeat;
   };
-  std::vector<EarlyHeartbeat> early_heartbeats_;  // that came while the ledger was loading
+  std::vector<EarlyHeartbeat> early_heartbeats_;  // arrived while the durable records were loading
   std::vector<bookkeeping::Job*> waiting_gangs_;
   RunTimes run_times_;
   ArrivalHistory arrivals_;
@@ -304,15 +324,17 @@
   DirectCommands direct_commands_;
   MachineRecordWriter machine_records_;
   CancelledWork cancelled_work_;
-  std::set<protocol::JobId> jobs_to_reread_;  // a read of theirs went unanswered
+  std::set<protocol::JobId> jobs_to_reread_;  // the read of their record failed or found no record
+  // kReadAgain: the record may have changed after the read was sent, so it is read once more after the
+  // answer.
   enum class OpenRead : std::uint8_t { kOnce, kReadAgain };
-  std::map<protocol::JobId, OpenRead> open_job_reads_;  // reads of live records that are open
-  std::set<std::string> claimed_machines_;              // machines kept for a gang in the present round
+  std::map<protocol::JobId, OpenRead> open_job_reads_;  // reads of live records in flight
+  std::set<std::string> claimed_machines_;              // set aside for waiting gangs in the current round
   double next_tier_update_ = 0;
-  // ---- work lists, so that nothing ordinary walks all jobs or machines ----
-  std::set<std::string> machines_with_pending_stops_;  // machines with tasks that are to stop
-  std::map<std::string, double>
-      withheld_quota_cpus_;  // cpus of the teams' limits that waiting gangs will need
+  // ---- indexes, so that a heartbeat does not have to visit all jobs or machines ----
+  std::set<std::string> machines_with_pending_stops_;  // machines with tasks in the state kStopping
+  // By team: quota that arrays must leave to waiting gangs.
+  std::map<std::string, double> withheld_quota_cpus_;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/unreconciled_machines.cpp
+++ b/src/coordination/scheduling/unreconciled_machines.cpp
@@ -53,7 +53,8 @@
       for (const auto& [kind, machines] : by_kind_) {
         if (!kind_allowed(job->spec, kind.type, kind.zone, kind.spot)) continue;
         const auto type = context_.types.find(kind.type);
-        // A machine of a type that the catalog does not list may hold any amount.
+        // The capacity of a machine type that the catalog does not list is unknown, so it counts as
+        // unlimited.
         const bool known = type != context_.types.end();
         capacity.cpus += known ? type->second.cpus * machines : c::kAmountMax;
         capacity.gpus += known ? type->second.gpus * machines : c::kAmountMax;
--- a/src/coordination/scheduling/unreconciled_machines.hpp
+++ b/src/coordination/scheduling/unreconciled_machines.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Machines on which tasks of earlier leaders may still run unseen. docs/design.md, section "What was added",
-/// "Records" and "Evidence".
+/// Machines that may still run tasks of earlier leaders that this leader does not know of. docs/design.md,
+/// section "What was added", "Records" and "Evidence".
 #pragma once
 
 #include <map>
@@ -11,32 +11,33 @@
 
 namespace robinford::coordination {
 
-/// Counts the machines that are on record from an earlier leader and have not yet proved to this one what
-/// runs on them (`Machine::unreconciled`). Until they have, the tasks that they could hold must not start
-/// elsewhere, or a task would run twice, and count against their teams' limits.
+/// Counts the machines that were recorded under an earlier leader and whose tasks this leader does not know
+/// yet (`Machine::unreconciled`). Until a heartbeat lists its tasks, its lease has expired, or the machine is
+/// gone, a task that it may hold must not start elsewhere, since it could then run twice, and it is charged
+/// to the quota of its team.
 ///
-/// Invariant: `count()` is the number of machines in the ledger with `unreconciled` set; only `add` and
-/// `mark_reconciled` follow that flag.
+/// Invariant: `count()` is the number of machines in the ledger with `unreconciled` set. Only `add` and
+/// `mark_reconciled` keep it equal to these flags.
 class UnreconciledMachines {
  public:
   /// `context` must outlive the object.
   explicit UnreconciledMachines(ControllerContext& context) : context_(context) {}
 
   void clear();
-  /// Counts a machine that was read from the ledger with `unreconciled` set.
+  /// Counts a machine that was loaded with `unreconciled` set.
   void add(const bookkeeping::Machine& machine);
-  /// The machine has proved what is on it, or that nothing of an earlier leader can be. Returns whether it
-  /// was unreconciled until now: then blocked jobs may be free to start.
+  /// Clears the flag of a machine whose tasks are known now. Returns whether it was set; if so, jobs that had
+  /// to wait for the machine may be able to start.
   [[nodiscard]] bool mark_reconciled(bookkeeping::Machine& machine);
 
   std::size_t count() const { return count_; }
-  /// Whether an unplaced task of the job may run on one of these machines.
+  /// Whether one of these machines may run an unplaced task of the job.
   bool may_hold_tasks_of(const bookkeeping::Job& job) const;
-  /// Charges the teams for all that these machines may hold. Walks all jobs: done when the ledger is read,
-  /// and with `charge_quota_if_changed` from time to time.
+  /// Charges the teams for all tasks that these machines may hold. Visits all jobs, so it is called only at
+  /// the end of loading and, through `charge_quota_if_changed`, periodically.
   void charge_quota();
-  /// `charge_quota` if a machine was reconciled since. Between two calls the charge can only be too high:
-  /// tasks are adopted, machines reconciled, and no task is added.
+  /// Calls `charge_quota` if a machine was reconciled since the last charge. In between, the charge can only
+  /// be too high: tasks are adopted and machines reconciled, but no machine becomes unreconciled.
   void charge_quota_if_changed();
 
  private:
