--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -33,8 +33,8 @@
     return false;
   if (const auto avoided = job.avoid.find(machine.name); avoided != job.avoid.end() && now < avoided->second)
     return false;
-  const auto kept = withheld_quota_cpus_.find(job.spec.team);
-  if (!context_.quota.allows(job.spec, 1, kept == withheld_quota_cpus_.end() ? 0 : kept->second))
+  const auto withheld = withheld_quota_cpus_.find(job.spec.team);
+  if (!context_.quota.allows(job.spec, 1, withheld == withheld_quota_cpus_.end() ? 0 : withheld->second))
     return false;
   // A job that failed on several machines runs one task at a time until one succeeds. A job that is ranked
   // first because of its waiting time also starts with one task, and its other tasks are ranked by due time
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -50,9 +50,10 @@
 }
 
 bool takes_work(const ControllerContext& context, const Machine& machine) {
-  const double fresh = context.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double max_heartbeat_age_s =
+      context.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   return machine.state == MachineState::kUp && !machine.cordoned && !machine.interruption_at &&
-         context.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
+         context.now.steady - machine.last_heartbeat < max_heartbeat_age_s && machine.cpus > 0;
 }
 
 ZoneCount count_tasks_by_zone(ControllerContext& context, const Job& job,
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -111,6 +111,7 @@
     spdlog::debug("job {} waits: {}", name_of(*job), why);
   }
 }
+
 void Scheduler::tick() {
   const double now = context_.now.steady;
   if (phase_ == LeaderPhase::kNone) return;
@@ -150,6 +151,7 @@
     log_wait_reasons();
   }
 }
+
 const char* Scheduler::wait_reason(const Job& job) const {
   if (context_.now.steady < job.backoff_until) return "its backoff after failures has not ended";
   if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
