--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -31,8 +31,8 @@
       direct_calls_(context_, election_, scheduler_, peers_, frames_),
       router_({context_, election_, scheduler_, versions_, quota_leases_, job_requests_, peers_, frames_}),
       http_requests_(context_, election_, scheduler_, quota_leases_, peers_, router_) {
-  context_.job_over = [this](protocol::JobId id, bookkeeping::FinalState state) {
-    job_requests_.job_over(id, state);
+  context_.on_job_final_state = [this](protocol::JobId id, bookkeeping::FinalState state) {
+    job_requests_.on_job_final_state(id, state);
   };
   if (lease_options.enabled) versions_.offer_quota_leases();
 }
@@ -51,8 +51,8 @@
 void Controller::on_elected() {
   context_.state.set_leading(true);
   context_.metrics.count("elections_won");
-  context_.cancellations.elected();
-  quota_leases_.elected();
+  context_.cancellations.begin_leadership();
+  quota_leases_.begin_leadership();
   fleet_.begin();
   scheduler_.begin();
   broadcast_status();
@@ -60,10 +60,10 @@
 
 void Controller::on_leadership_lost() {
   context_.state.set_leading(false);
-  context_.cancellations.ended();
-  quota_leases_.lost();
+  context_.cancellations.end_leadership();
+  quota_leases_.end_leadership();
   fleet_.end();
-  job_requests_.end();
+  job_requests_.fail_waiting_cancellations();
   scheduler_.end();
   broadcast_status();
 }
@@ -77,15 +77,15 @@
 
 void Controller::on_tick(const protocol::ClockReading& now) {
   begin_step(now);
-  if (!ending_) election_.tick();
+  if (!terminating_) election_.tick();
   versions_.tick();
   scheduler_.tick();
   fleet_.tick();
   quota_leases_.tick(router_.leader());
   if (now.steady >= next_status_broadcast_) broadcast_status();
-  router_.settle_overdue();
+  router_.resolve_overdue();
   direct_calls_.tick();
-  router_.retry_parked();
+  router_.retry_parked_heartbeats();
   finish_step();
   flush_frames();
 }
@@ -99,7 +99,7 @@
                            const protocol::CallResult& result) {
   begin_step(now);
   context_.calls.on_result(call, result);
-  if (election_.role() == Role::kDiscovering && !ending_) election_.tick();
+  if (election_.role() == Role::kDiscovering && !terminating_) election_.tick();
   finish_step();
 }
 
@@ -120,7 +120,7 @@
   const auto messages = protocol::decode_frame(frame);
   if (!messages) return FrameOutcome::kMalformed;
   begin_step(now);
-  FrameOutcome outcome = FrameOutcome::kTaken;
+  FrameOutcome outcome = FrameOutcome::kAccepted;
   for (const auto& message : *messages)
     if (on_message(message) == FrameOutcome::kMalformed) outcome = FrameOutcome::kMalformed;
   finish_step();
@@ -129,7 +129,7 @@
 
 void Controller::on_terminate(const protocol::ClockReading& now) {
   begin_step(now);
-  ending_ = true;
+  terminating_ = true;
   http_requests_.stop_serving();
   election_.resign();
   finish_step();
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -28,7 +28,7 @@
  public:
   /// What became of a frame from another controller.
   enum class FrameOutcome : std::uint8_t {
-    kTaken,
+    kAccepted,
     kMalformed,  ///< a part of it could not be read, or its sender is unknown
   };
 
@@ -90,7 +90,7 @@
   RequestRouter router_;
   HttpRequests http_requests_;
   double next_status_broadcast_ = 0;  ///< steady s
-  bool ending_ = false;
+  bool terminating_ = false;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -61,20 +61,20 @@
   BootTimes boots;
   Metrics metrics;
   /// Called when a job's final state is durable.
-  std::function<void(protocol::JobId, bookkeeping::FinalState)> job_over;
+  std::function<void(protocol::JobId, bookkeeping::FinalState)> on_job_final_state;
   /// The machine types by name; empty while they are not known.
   std::map<std::string, protocol::MachineType> types;
 
   /// The bound of a queue or cache that grows with the memory that the settings grant.
-  std::size_t per_memory(double entries_per_mb) const {
+  std::size_t max_entries(double entries_per_mb) const {
     return static_cast<std::size_t>(std::max(kBoundLeast, settings.memory_mb * entries_per_mb));
   }
   /// The same of one with an entry for each machine: never less than the largest fleet that is served.
-  std::size_t per_machine(double entries_per_mb) const {
-    return std::max(constants::kMachinesLeast, per_memory(entries_per_mb));
+  std::size_t max_machine_entries(double entries_per_mb) const {
+    return std::max(constants::kMachinesLeast, max_entries(entries_per_mb));
   }
   /// A random number of [0, limit), evenly distributed.
-  double draw(double limit) { return std::uniform_real_distribution<double>(0, limit)(random); }
+  double random_below(double limit) { return std::uniform_real_distribution<double>(0, limit)(random); }
   /// The team's weight beside other teams: by the operators' policy, else by its guaranteed resources.
   double share_of(const std::string& team) const {
     if (const auto found = policy.shares.find(team); found != policy.shares.end()) return found->second;
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -53,23 +53,26 @@
   const auto& cancellations = context_.cancellations;
   if (!owns_fencing_token()) return false;
   // Where leases and cancellations are too close together, nobody announces any before this bound has passed.
-  if (cancellations.strict()) return now < last_renewed_ + cancellations.answer_s() * (1 - c::kClockDrift);
-  return now < cancellations.known_up_to(now) + cancellations.answer_s();
+  if (cancellations.only_leader_announces())
+    return now < last_renewed_ + cancellations.heartbeat_answer_window_s() * (1 - c::kClockDrift);
+  return now < cancellations.known_up_to(now) + cancellations.heartbeat_answer_window_s();
 }
 
 bool Election::caught_up() const {
   const auto& cancellations = context_.cancellations;
-  const double known = cancellations.read_up_to();
+  const double known = cancellations.change_log_read_up_to();
   if (known < leading_since_) return false;
-  return cancellations.strict() || context_.now.steady < known + cancellations.answer_s() / 2;
+  return cancellations.only_leader_announces() ||
+         context_.now.steady < known + cancellations.heartbeat_answer_window_s() / 2;
 }
 
 bool Election::may_announce_cancellation(protocol::JobId id) const {
   auto& cancellations = context_.cancellations;
   // A valid leader knows it itself. What former leaders have in memory does not matter: none of them is
   // valid.
-  if (valid()) return !cancellations.strict() || context_.now.steady >= former_leaders_stopped_at();
-  return !cancellations.strict() && cancellations.acknowledged_by_all(id, context_.now.steady);
+  if (valid())
+    return !cancellations.only_leader_announces() || context_.now.steady >= former_leaders_stopped_at();
+  return !cancellations.only_leader_announces() && cancellations.acknowledged_by_all(id, context_.now.steady);
 }
 
 // ---------------------------------------------------------------- changes of role
@@ -196,7 +199,7 @@
   }
   if (!gone) return watch_leader_key(std::max(after_revision, watch.revision));
   // Two followers learn of it at the same time; a short random wait lets one be first.
-  retry_in(watch.complete() ? context_.draw(c::kCampaignJitterS) : c::kCampaignRetryS);
+  retry_in(watch.complete() ? context_.random_below(c::kCampaignJitterS) : c::kCampaignRetryS);
 }
 
 // ---------------------------------------------------------------- campaigning
@@ -241,7 +244,8 @@
   term.term = campaign.term;
   term.records_since = former_leaders_.records_since();
   term.former_stopped_wall_ms = former_leaders_.stopped_wall_ms();
-  term.answer_ms = static_cast<std::int64_t>(std::ceil(context_.cancellations.answer_s() * 1000));
+  term.answer_ms =
+      static_cast<std::int64_t>(std::ceil(context_.cancellations.heartbeat_answer_window_s() * 1000));
   const LeaderRecord leader{term.member, term.incarnation, term.term};
   json::array conditions{{{n::kKey, kLeaderKey}, {n::kModRevision, campaign.key_mod_revision}},
                          {{n::kKey, kTermKey}, {n::kModRevision, campaign.term_mod_revision}}};
@@ -316,7 +320,7 @@
 
 void Election::on_renewed(double sent_at) {
   last_renewed_ = std::max(last_renewed_, sent_at);
-  context_.cancellations.renewed(sent_at);
+  context_.cancellations.on_leader_key_renewed(sent_at);
   valid_until_ = lease_valid_until();
   if (role_ == Role::kDegraded && context_.now.steady < valid_until_) become(Role::kLeading);
 }
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -46,7 +46,7 @@
 
 void ChangeLog::begin(Done done) {
   end();
-  context_.cancellations.change_log_requested(context_.now.steady);
+  context_.cancellations.on_change_log_read_started(context_.now.steady);
   load("", 0, std::move(done));
 }
 
@@ -148,7 +148,7 @@
   read_began_ = context_.now.steady;
   waiting_for_open_ = std::move(waiting_for_next_);
   waiting_for_next_.clear();
-  context_.cancellations.change_log_requested(context_.now.steady);
+  context_.cancellations.on_change_log_read_started(context_.now.steady);
   read("");
 }
 
@@ -164,7 +164,7 @@
                           if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
                         }
                         if (page->more && !page->items.empty()) return read(page->items.back().key);
-                        context_.cancellations.change_log_read(election_.last_renewed());
+                        context_.cancellations.on_change_log_read_finished(election_.last_renewed());
                         finish_read(true);
                       });
 }
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -79,24 +79,24 @@
     return;
   }
   reading_.insert(id);
-  lookup_.own_records(id, [this, id, generation = generation_](const JobLookup::Known& known) {
+  lookup_.read_own_records(id, [this, id, generation = generation_](const JobLookup::Result& known) {
     if (generation != generation_) return;
     reading_.erase(id);
     // More may wait for their turn: no pause while answers come.
-    if (known.what != JobLookup::Known::What::kUnknown) next_read_ = context_.now.steady;
-    switch (known.what) {
-      case JobLookup::Known::What::kFinal:
+    if (known.record_status != JobLookup::Result::RecordStatus::kUnknown) next_read_ = context_.now.steady;
+    switch (known.record_status) {
+      case JobLookup::Result::RecordStatus::kFinal:
         return finished(id, known.state);
-      case JobLookup::Known::What::kLive:
+      case JobLookup::Result::RecordStatus::kLive:
         if (!known_unfinished(id)) events_.admitted(id);
         next_read_ = context_.now.steady + c::kLoadRetryS;
         return;
-      case JobLookup::Known::What::kNever:
+      case JobLookup::Result::RecordStatus::kNeverAccepted:
         if (missing_.insert(id).second)
           spdlog::error("jobs wait for {}, of which there is no record", protocol::job_id_text(id));
         next_read_ = context_.now.steady + c::kVersionsEveryS;
         return;
-      case JobLookup::Known::What::kUnknown:
+      case JobLookup::Result::RecordStatus::kUnknown:
         return;
     }
   });
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -153,8 +153,9 @@
   job.first_start = now;
   const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
   if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
-  context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
-                          std::max(0.0, waited));
+  context_.metrics.record(
+      job.spec.gang ? Metrics::Distribution::kGangWait : Metrics::Distribution::kArrayWait,
+      std::max(0.0, waited));
 }
 
 // Tasks that are no runs of ours: an earlier leader's, or old attempts.
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -39,7 +39,7 @@
 void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
   if (!entitled(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
-    if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
+    if (early_.size() >= context_.max_machine_entries(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
     early_.push_back({key, heartbeat});
     return;
   }
@@ -174,7 +174,7 @@
   context_.metrics.count(direct ? "launches_direct" : "launches");
   if (first_launch_seen_) return;
   first_launch_seen_ = true;
-  context_.metrics.record(Metrics::Spread::kFailover, context_.now.steady - began_);
+  context_.metrics.record(Metrics::Distribution::kFailover, context_.now.steady - began_);
   spdlog::info("first launch {:.2f} s into term {}", context_.now.steady - began_, election_.term());
 }
 
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -205,7 +205,7 @@
         job.first_start > 0 ? job.first_start - job.known_at : -1.0, job.spec.tasks, job.spec.cpus,
         job.spec.estimate_s, job.ran_count > 0 ? job.ran_sum / job.ran_count : 0.0, time_left(job));
   queue_order_.mark_changed();
-  if (context_.job_over) context_.job_over(job.spec.id, state);
+  if (context_.on_job_final_state) context_.on_job_final_state(job.spec.id, state);
   dependencies_.finished(job.spec.id, state);
   placements_.release_reservations(job);
   std::vector<std::uint32_t> indices;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -164,7 +164,7 @@
   settle_loaded_jobs();
   unreconciled_.charge_quota();
   expect_old_cancelled_work_gone();
-  context_.cancellations.change_log_read(election_.last_renewed());
+  context_.cancellations.on_change_log_read_finished(election_.last_renewed());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   reconcile_until_ =
       context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
--- a/src/coordination/metrics.cpp
+++ b/src/coordination/metrics.cpp
@@ -16,17 +16,18 @@
 namespace {
 
 /// A distribution's name on the page, where they stand in this order.
-struct SpreadName {
-  Metrics::Spread spread;
+struct DistributionName {
+  Metrics::Distribution distribution;
   const char* name;
 };
 
-constexpr SpreadName kSpreadNames[] = {{Metrics::Spread::kGangWait, "gang_wait_seconds"},
-                                       {Metrics::Spread::kArrayWait, "array_wait_seconds"},
-                                       {Metrics::Spread::kRound, "round_seconds"},
-                                       {Metrics::Spread::kFailover, "failover_seconds"},
-                                       {Metrics::Spread::kHeartbeatAnswer, "heartbeat_answer_seconds"},
-                                       {Metrics::Spread::kGrantWait, "grant_wait_seconds"}};
+constexpr DistributionName kDistributionNames[] = {
+    {Metrics::Distribution::kGangWait, "gang_wait_seconds"},
+    {Metrics::Distribution::kArrayWait, "array_wait_seconds"},
+    {Metrics::Distribution::kRound, "round_seconds"},
+    {Metrics::Distribution::kFailover, "failover_seconds"},
+    {Metrics::Distribution::kHeartbeatAnswer, "heartbeat_answer_seconds"},
+    {Metrics::Distribution::kGrantWait, "grant_wait_seconds"}};
 
 template <typename Histogram>
 void write_histogram(std::ostream& out, const char* name, const Histogram& values) {
@@ -43,20 +44,21 @@
 
 Metrics::Metrics() {
   const Axis axis(c::kSpreadBuckets, c::kSpreadLeastS, c::kSpreadMostS);
-  for (const auto& [spread, name] : kSpreadNames)
-    histograms_.emplace(spread, histogram::make_histogram(axis));
+  for (const auto& [distribution, name] : kDistributionNames)
+    histograms_.emplace(distribution, histogram::make_histogram(axis));
 }
 
 // A logarithmic axis has no place for zero.
-void Metrics::record(Spread spread, double seconds) {
-  histograms_.at(spread)(std::max(seconds, c::kSpreadLeastS));
+void Metrics::record(Distribution distribution, double seconds) {
+  histograms_.at(distribution)(std::max(seconds, c::kSpreadLeastS));
 }
 
 std::string Metrics::page() const {
   std::ostringstream out;
   for (const auto& [name, value] : counters_) out << "robinford_" << name << "_total " << value << '\n';
   for (const auto& [name, value] : gauges_) out << "robinford_" << name << ' ' << value << '\n';
-  for (const auto& [spread, name] : kSpreadNames) write_histogram(out, name, histograms_.at(spread));
+  for (const auto& [distribution, name] : kDistributionNames)
+    write_histogram(out, name, histograms_.at(distribution));
   return out.str();
 }
 
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -14,7 +14,7 @@
 class Metrics {
  public:
   /// The distributions that are measured, all in seconds.
-  enum class Spread {
+  enum class Distribution {
     kGangWait,         ///< from a gang's submission to the first run of a task
     kArrayWait,        ///< the same of an array
     kRound,            ///< a placement round; on the page for its readers, though nothing records it
@@ -30,7 +30,7 @@
   /// Sets a gauge.
   void gauge(const char* name, double value) { gauges_[name] = value; }
   /// Adds a value to a distribution.
-  void record(Spread spread, double seconds);
+  void record(Distribution distribution, double seconds);
   /// All values as text, one a line, in the format that Prometheus reads.
   std::string page() const;
 
@@ -40,7 +40,7 @@
 
   std::map<std::string, std::uint64_t> counters_;
   std::map<std::string, double> gauges_;
-  std::map<Spread, Histogram> histograms_;
+  std::map<Distribution, Histogram> histograms_;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -46,14 +46,14 @@
 
 // ---------------------------------------------------------------- leadership
 
-void QuotaLeases::elected() {
+void QuotaLeases::begin_leadership() {
   if (!options_.enabled) return;
   ++generation_;
   lessee_.reset(context_.now.steady);
   lessor_.begin(election_.term(), context_.now.steady);
 }
 
-void QuotaLeases::lost() {
+void QuotaLeases::end_leadership() {
   if (!options_.enabled) return;
   ++generation_;
   lessor_.end();
@@ -67,42 +67,45 @@
   if (!election_.valid()) return;
   if (lessor_.needs_loading() && now >= next_load_) load();
   lessor_.tick(now);
-  carry_out_writes();
+  submit_due_writes();
   send_lessor_messages();
 }
 
 // ---------------------------------------------------------------- lessee
 
-bool QuotaLeases::lessor_understands(const std::string& leader) const {
+bool QuotaLeases::leader_serves_leases(const std::string& leader) const {
   return !leader.empty() && leader != context_.settings.member && versions_.serves_quota_leases(leader);
 }
 
 void QuotaLeases::renew(const std::string& leader) {
-  if (!lessor_understands(leader)) return;
+  if (!leader_serves_leases(leader)) return;
   next_renewal_ = context_.now.steady + std::min(c::kLeaseRenewS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
   send_(leader, quota::encode(lessee_.renewal(context_.now.steady)));
 }
 
-void QuotaLeases::grant_submission(const std::string& leader, const std::string& body) {
-  if (!options_.enabled || !lessor_understands(leader)) return;
+void QuotaLeases::grant_from_lease(const std::string& leader, const std::string& body) {
+  if (!options_.enabled || !leader_serves_leases(leader)) return;
   const auto parsed = protocol::parse_job(body);
   if (!parsed.spec) return;
   const auto* team = context_.settings.team(parsed.spec->team);
   if (team == nullptr || team->cpus_max >= c::kAmountMax) return;
   if (!lessee_.grant(*parsed.spec, context_.now.steady)) return;
-  context_.metrics.record(Metrics::Spread::kGrantWait, 0);
+  context_.metrics.record(Metrics::Distribution::kGrantWait, 0);
   while (const auto message = lessee_.new_grants()) send_(leader, quota::encode(*message));
 }
 
 // ---------------------------------------------------------------- frames
 
-bool QuotaLeases::take(const std::string& member, std::uint64_t incarnation, const std::string& body) {
+bool QuotaLeases::on_peer_message(const std::string& member, std::uint64_t incarnation,
+                                  const std::string& body) {
   // A controller without the switch takes no part: its lessees' leases simply end.
   if (!options_.enabled) return true;
-  return quota::is_lessor_message(body) ? take_lessor(member, body) : take_lessee(member, incarnation, body);
+  return quota::is_lessor_message(body) ? on_lessor_message(member, body)
+                                        : on_lessee_message(member, incarnation, body);
 }
 
-bool QuotaLeases::take_lessee(const std::string& member, std::uint64_t incarnation, const std::string& body) {
+bool QuotaLeases::on_lessee_message(const std::string& member, std::uint64_t incarnation,
+                                    const std::string& body) {
   const auto message = quota::decode_lessee(body);
   if (!message) {
     lessor_.bad_message();
@@ -115,7 +118,7 @@
   return true;
 }
 
-bool QuotaLeases::take_lessor(const std::string& member, const std::string& body) {
+bool QuotaLeases::on_lessor_message(const std::string& member, const std::string& body) {
   const auto message = quota::decode_lessor(body);
   if (!message) {
     lessor_.bad_message();
@@ -154,7 +157,7 @@
                       });
 }
 
-void QuotaLeases::carry_out_writes() {
+void QuotaLeases::submit_due_writes() {
   for (auto& due : lessor_.take_writes(context_.now.steady)) write(std::move(due));
 }
 
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -22,14 +22,14 @@
   QuotaLeases(ControllerContext& context, Election& election, const PeerVersions& versions,
               const quota::LeaseOptions& options, Send send);
 
-  void elected();
-  void lost();
+  void begin_leadership();
+  void end_leadership();
   // `leader`: the member that leads, as far as is known here; empty for none.
   void tick(const std::string& leader);
   // A submission goes to the leader: what this controller's lease covers is granted, and told ahead of it.
-  void grant_submission(const std::string& leader, const std::string& body);
+  void grant_from_lease(const std::string& leader, const std::string& body);
   // The body of another controller's frame. False: it makes no sense.
-  bool take(const std::string& member, std::uint64_t incarnation, const std::string& body);
+  bool on_peer_message(const std::string& member, std::uint64_t incarnation, const std::string& body);
   void set_gauges();
 
   const quota::Lessee& lessee() const { return lessee_; }
@@ -39,15 +39,15 @@
 
  private:
   static quota::Lessor::Ledgers ledgers(ControllerContext& context);
-  bool lessor_understands(const std::string& leader) const;
+  bool leader_serves_leases(const std::string& leader) const;
   void renew(const std::string& leader);
   void load();
   void load_page(const std::string& after);
-  void carry_out_writes();
+  void submit_due_writes();
   void write(quota::LeaseWrite write);
   void send_lessor_messages();
-  bool take_lessee(const std::string& member, std::uint64_t incarnation, const std::string& body);
-  bool take_lessor(const std::string& member, const std::string& body);
+  bool on_lessee_message(const std::string& member, std::uint64_t incarnation, const std::string& body);
+  bool on_lessor_message(const std::string& member, const std::string& body);
 
   ControllerContext& context_;
   Election& election_;
--- a/src/coordination/routing/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -19,11 +19,11 @@
 
 /// A probe is the time of its sending, by the steady clock in ms; the probing process reads it back from the
 /// echo.
-std::uint64_t probe_at(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * kMsPerS)); }
-double probe_sent_at(std::uint64_t probe) { return static_cast<double>(probe) / kMsPerS; }
+std::uint64_t encode_probe(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * kMsPerS)); }
+double decode_probe_time(std::uint64_t probe) { return static_cast<double>(probe) / kMsPerS; }
 
 /// When a process started, by its own wall clock, in seconds since 1970.
-double started_by_wall_clock(std::uint64_t incarnation) {
+double start_time_s(std::uint64_t incarnation) {
   return static_cast<double>(incarnation >> c::kIncarnationBits) / kMsPerS;
 }
 
@@ -32,15 +32,16 @@
 Cancellations::Cancellations(const protocol::Settings& settings) {
   const double spare_s =
       (settings.cancel_s - settings.lease_s) * (1 - 2 * c::kClockDrift) - c::kCancellationMarginS;
-  strict_ = spare_s < c::kLeastAnswerS;
-  answer_s_ = strict_ ? c::kStrictAnswerS : std::min(spare_s, c::kDegradedBoundS);
+  only_leader_announces_ = spare_s < c::kLeastAnswerS;
+  heartbeat_answer_window_s_ =
+      only_leader_announces_ ? c::kStrictAnswerS : std::min(spare_s, c::kDegradedBoundS);
   clock_error_s_ = settings.clock_error_ms / kMsPerS;
   for (const auto& peer : settings.peers) peers_[peer.member];
 }
 
 // ---------------------------------------------------------------- announcements of this controller
 
-bool Cancellations::announce(JobId id) { return log_.append(id).has_value(); }
+bool Cancellations::record_announcement(JobId id) { return log_.append(id).has_value(); }
 
 std::optional<PeerMessage> Cancellations::unacknowledged(const std::string& member) const {
   const auto found = peers_.find(member);
@@ -54,28 +55,28 @@
 }
 
 bool Cancellations::acknowledged_by_all(JobId id, double now) {
-  note_start(now);
+  record_start_time(now);
   const auto number = log_.number_of(id);
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
     if (number && peer.acknowledged >= *number) return true;
-    const double vouched_at = std::max(peer.vouched_at, *started_at_);
-    return now - vouched_at >= c::kInMemoryStateFreshS + c::kLeaseMarginS;
+    const double last_echo_sent_at = std::max(peer.last_echo_sent_at, *started_at_);
+    return now - last_echo_sent_at >= c::kInMemoryStateFreshS + c::kLeaseMarginS;
   });
 }
 
-void Cancellations::sign(const std::string& member, double now, PeerMessage& status) {
-  note_start(now);
+void Cancellations::fill_status(const std::string& member, double now, PeerMessage& status) {
+  record_start_time(now);
   Peer& peer = peers_.at(member);
-  if (peer.probe != 0) peer.vouched_at = now;
-  status.probe = probe_at(now);
+  if (peer.probe != 0) peer.last_echo_sent_at = now;
+  status.probe = encode_probe(now);
   status.echo = peer.probe;
   status.echo_incarnation = peer.incarnation;
   status.announced = announced();
   status.taken = peer.known;
 }
 
-void Cancellations::note_start(double now) {
+void Cancellations::record_start_time(double now) {
   if (!started_at_) started_at_ = now;
 }
 
@@ -84,14 +85,13 @@
 // A late message of an earlier process of that member proves nothing. A process that is back within the
 // clock's error may seem to have started before the one that it follows: that costs its chain, and nothing
 // else.
-bool Cancellations::is_late(const PeerMessage& message) const {
+bool Cancellations::is_from_earlier_process(const PeerMessage& message) const {
   const auto found = peers_.find(message.member);
   if (found == peers_.end()) return true;
-  return started_by_wall_clock(message.incarnation) <
-         started_by_wall_clock(found->second.incarnation) - 2 * clock_error_s_;
+  return start_time_s(message.incarnation) < start_time_s(found->second.incarnation) - 2 * clock_error_s_;
 }
 
-Cancellations::Peer& Cancellations::peer_of(const PeerMessage& message) {
+Cancellations::Peer& Cancellations::peer_for_process(const PeerMessage& message) {
   Peer& peer = peers_.at(message.member);
   if (peer.incarnation == message.incarnation) return peer;
   // What its earlier process announced in its last moments is not known from the new one: the state service
@@ -99,28 +99,28 @@
   Peer successor;
   successor.incarnation = message.incarnation;
   successor.known_at = peer.known_at;
-  successor.vouched_at = peer.vouched_at;
+  successor.last_echo_sent_at = peer.last_echo_sent_at;
   peer = successor;
   return peer;
 }
 
-void Cancellations::take_announced(const PeerMessage& message) {
-  if (is_late(message)) return;
-  Peer& peer = peer_of(message);
+void Cancellations::apply_announcements(const PeerMessage& message) {
+  if (is_from_earlier_process(message)) return;
+  Peer& peer = peer_for_process(message);
   // A message beyond the next number shows a gap: what is missing comes with a later status.
   if (message.first <= peer.known + 1)
     peer.known = std::max(peer.known, message.first + message.jobs.size() - 1);
 }
 
-void Cancellations::take_status(const PeerMessage& status, std::uint64_t own_incarnation) {
-  if (is_late(status)) return;
-  Peer& peer = peer_of(status);
+void Cancellations::apply_peer_status(const PeerMessage& status, std::uint64_t own_incarnation) {
+  if (is_from_earlier_process(status)) return;
+  Peer& peer = peer_for_process(status);
   peer.announced = std::max(peer.announced, status.announced);
   peer.probe = std::max(peer.probe, status.probe);
   if (status.echo_incarnation == own_incarnation) {
     peer.acknowledged = std::max(peer.acknowledged, std::min(status.taken, announced()));
-    if (peer.without_gap && peer.known >= status.announced)
-      peer.known_at = std::max(peer.known_at, probe_sent_at(status.echo));
+    if (peer.announcements_contiguous && peer.known >= status.announced)
+      peer.known_at = std::max(peer.known_at, decode_probe_time(status.echo));
   }
   // Whoever is elected reads all that is durable: until then there is nothing to catch up with.
   if (!leading_) peer.known = std::max(peer.known, peer.announced);
@@ -128,55 +128,55 @@
 
 // ---------------------------------------------------------------- proofs by the state service
 
-void Cancellations::elected() {
+void Cancellations::begin_leadership() {
   leading_ = true;
-  read_at_ = kNever;
-  state_proof_ = kNever;
-  reading_.reset();
-  unconfirmed_.reset();
+  last_read_started_at_ = kNever;
+  confirmed_up_to_ = kNever;
+  open_read_.reset();
+  unconfirmed_read_.reset();
   for (auto& [member, peer] : peers_) {
-    peer.without_gap = false;
+    peer.announcements_contiguous = false;
     peer.known_at = kNever;
   }
 }
 
-void Cancellations::ended() {
+void Cancellations::end_leadership() {
   leading_ = false;
-  reading_.reset();
-  unconfirmed_.reset();
+  open_read_.reset();
+  unconfirmed_read_.reset();
 }
 
-void Cancellations::change_log_requested(double now) {
-  reading_ = Snapshot{now, {}};
-  for (const auto& [member, peer] : peers_) reading_->counts[member] = {peer.incarnation, peer.announced};
+void Cancellations::on_change_log_read_started(double now) {
+  open_read_ = Snapshot{now, {}};
+  for (const auto& [member, peer] : peers_) open_read_->counts[member] = {peer.incarnation, peer.announced};
 }
 
-void Cancellations::change_log_read(double renewed) {
-  if (!reading_) return;
-  read_at_ = std::max(read_at_, reading_->at);
+void Cancellations::on_change_log_read_finished(double renewed) {
+  if (!open_read_) return;
+  last_read_started_at_ = std::max(last_read_started_at_, open_read_->at);
   // An older one that still waits for a renewal stays: reads that follow one another closely would otherwise
   // keep replacing it.
-  if (!unconfirmed_) unconfirmed_ = std::move(reading_);
-  reading_.reset();
-  advance_state_proof(renewed);
+  if (!unconfirmed_read_) unconfirmed_read_ = std::move(open_read_);
+  open_read_.reset();
+  advance_confirmed_time(renewed);
 }
 
-void Cancellations::advance_state_proof(double renewed) {
-  state_proof_ = std::max(state_proof_, std::min(read_at_, renewed));
+void Cancellations::advance_confirmed_time(double renewed) {
+  confirmed_up_to_ = std::max(confirmed_up_to_, std::min(last_read_started_at_, renewed));
 }
 
-void Cancellations::renewed(double sent) {
-  advance_state_proof(sent);
+void Cancellations::on_leader_key_renewed(double sent) {
+  advance_confirmed_time(sent);
   // The leader key was ours when the change-log entries were read: nobody else can have made a cancellation
   // durable without one. What a member had announced before that stands in what was read.
-  if (!unconfirmed_ || sent < unconfirmed_->at) return;
-  for (const auto& [member, at_read] : unconfirmed_->counts) {
+  if (!unconfirmed_read_ || sent < unconfirmed_read_->at) return;
+  for (const auto& [member, at_read] : unconfirmed_read_->counts) {
     Peer& peer = peers_.at(member);
     if (peer.incarnation != at_read.incarnation || peer.incarnation == 0) continue;
     peer.known = std::max(peer.known, at_read.count);
-    peer.without_gap = true;
+    peer.announcements_contiguous = true;
   }
-  unconfirmed_.reset();
+  unconfirmed_read_.reset();
 }
 
 // ---------------------------------------------------------------- what is known
@@ -184,10 +184,10 @@
 double Cancellations::known_up_to(double now) const {
   double proved_by_members = now;
   for (const auto& [member, peer] : peers_) proved_by_members = std::min(proved_by_members, peer.known_at);
-  return std::max(state_proof_, proved_by_members);
+  return std::max(confirmed_up_to_, proved_by_members);
 }
 
-bool Cancellations::current(double now) const {
+bool Cancellations::is_in_memory_state_current(double now) const {
   return std::all_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
     return now < entry.second.known_at + c::kInMemoryStateFreshS;
   });
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -28,12 +28,12 @@
   probe.commands = call.commands;
   probe.term = election_.term();
   const std::string follower = peers_.next_direct_call_follower(context_.now.steady);
-  if (follower.empty()) return carry_out(probe);
+  if (follower.empty()) return execute_call(probe);
   delegated_[call.id] = context_.now.steady + c::kDelegateS;
   frames_.send(follower, std::move(probe));
 }
 
-void DirectCalls::carry_out(const PeerMessage& probe) {
+void DirectCalls::execute_call(const PeerMessage& probe) {
   const std::string& requester = probe.member;  // empty: this leader itself
   // Calls for others must not exhaust the connections that this controller needs for its own clients.
   const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
--- a/src/coordination/routing/direct_calls.hpp
+++ b/src/coordination/routing/direct_calls.hpp
@@ -26,7 +26,7 @@
   /// Makes the call for this leader, here or through a follower.
   void start(const DirectCall& call);
   /// Another controller asks for a call, by a message of kind kProbe.
-  void carry_out(const protocol::PeerMessage& probe);
+  void execute_call(const protocol::PeerMessage& probe);
   /// A follower answered a call, by a message of kind kProbeResult.
   void on_peer_result(const protocol::PeerMessage& result);
   /// Reports the calls that followers did not answer in time.
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -68,7 +68,7 @@
   if (message.kind == PeerKind::kHeartbeat) return scheduler_.heartbeat(key, heartbeat);
   if (!scheduler_.unchanged_heartbeat(key, heartbeat.machine, heartbeat.agent_epoch, heartbeat.seq,
                                       heartbeat.fencing_token, message.base_seq))
-    refuse_heartbeat(key, kNeededInFull);
+    refuse_heartbeat(key, kFullHeartbeatRequired);
 }
 
 void RequestRouter::on_commands(const PeerMessage& message) {
@@ -78,9 +78,9 @@
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == kNeededInFull) {
+  if (message.status == kFullHeartbeatRequired) {
     // The leader's in-memory state stands on another heartbeat than the one that was named to it.
-    pending_.require_in_full(message.request);
+    pending_.require_full_heartbeat(message.request);
     return route(message.request);
   }
   if (message.status == 200)
@@ -97,13 +97,13 @@
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == 200 && request->target != n::kPathJobs) learn_final_state(message.body);
+  if (message.status == 200 && request->target != n::kPathJobs) record_final_state(message.body);
   answer(message.request, static_cast<int>(message.status), static_cast<int>(message.retry_after_s),
          message.body);
 }
 
 // Final answers are durable, so they may be kept and given here from now on.
-void RequestRouter::learn_final_state(const std::string& job_body) {
+void RequestRouter::record_final_state(const std::string& job_body) {
   const auto reported = parse_reported_state(job_body);
   if (!reported) return;
   if (reported->state == n::kStateDone)
--- a/src/coordination/routing/http_requests.cpp
+++ b/src/coordination/routing/http_requests.cpp
@@ -114,7 +114,7 @@
 // Not ready only when this controller can serve nobody and another one says that it could.
 bool HttpRequests::can_serve() const {
   const double now = context_.now.steady;
-  if (ending_) return false;
+  if (terminating_) return false;
   if (scheduler_.knows_all_jobs() || context_.state.reachable(now)) return true;
   return peers_.has_ready_leader(now) || !peers_.any_reaches_state(now);
 }
--- a/src/coordination/routing/http_requests.hpp
+++ b/src/coordination/routing/http_requests.hpp
@@ -37,7 +37,7 @@
   /// Replies to the request in this step, or leaves it to the router.
   Handled handle(const protocol::HttpRequest& request);
   /// The process ends soon: it is not ready any more.
-  void stop_serving() { ending_ = true; }
+  void stop_serving() { terminating_ = true; }
 
  private:
   void reply(const protocol::HttpRequest& request, int status, std::string body);
@@ -56,7 +56,7 @@
   QuotaLeases& quota_leases_;
   const PeerTable& peers_;
   RequestRouter& router_;
-  bool ending_ = false;
+  bool terminating_ = false;
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -37,10 +37,10 @@
       job_changed_(std::move(job_changed)) {}
 
 void JobAdmission::admit(JobId id, const protocol::JobParse& submission, const UserReply& reply) {
-  if (!submission.spec) return refuse_unless_known(id, {400, submission.error}, reply);
+  if (!submission.spec) return refuse_unless_admitted(id, {400, submission.error}, reply);
   const JobSpec& spec = *submission.spec;
   check_resources(spec, [this, spec, reply](const std::optional<Refusal>& refusal) {
-    if (refusal) return refuse_unless_known(spec.id, *refusal, reply);
+    if (refusal) return refuse_unless_admitted(spec.id, *refusal, reply);
     check_dependencies(
         spec, [this, spec, reply](const DependencyVerdict& verdict) { apply_verdict(spec, verdict, reply); });
   });
@@ -48,22 +48,22 @@
 
 void JobAdmission::apply_verdict(const JobSpec& spec, const DependencyVerdict& verdict,
                                  const UserReply& reply) {
-  if (verdict.refusal) return refuse_unless_known(spec.id, *verdict.refusal, reply);
-  if (verdict.any_cancelled) return write_as_cancelled(spec.id, reply);
+  if (verdict.refusal) return refuse_unless_admitted(spec.id, *verdict.refusal, reply);
+  if (verdict.any_cancelled) return write_cancelled_job(spec.id, reply);
   JobSpec admitted = spec;
   admitted.dependencies = verdict.unfinished;
   write(admitted, reply);
 }
 
 // A job that was accepted before must not be reported as refused to whoever submits it once more.
-void JobAdmission::refuse_unless_known(JobId id, const Refusal& refusal, const UserReply& reply) {
+void JobAdmission::refuse_unless_admitted(JobId id, const Refusal& refusal, const UserReply& reply) {
   if (refusal.status == 503) return reply(unavailable(refusal.reason));
   answer_by_lookup(id, refused(refusal.status, refusal.reason), {reply});
 }
 
 void JobAdmission::answer_by_lookup(JobId id, const UserAnswer& if_never,
                                     const std::vector<UserReply>& replies) {
-  lookup_.state_with_dependencies(id, [this, id, if_never, replies](const JobLookup::Known& known) {
+  lookup_.read_state_with_dependencies(id, [this, id, if_never, replies](const JobLookup::Result& known) {
     for (const auto& reply : replies) reply(lookup_answer(id, known, context_.now.steady, if_never));
   });
 }
@@ -124,30 +124,30 @@
   };
   auto check = std::make_shared<OpenCheck>(OpenCheck{{}, spec.dependencies.size()});
   for (const auto id : spec.dependencies) {
-    const auto on_read = [check, id, done](const JobLookup::Known& known) {
+    const auto on_read = [check, id, done](const JobLookup::Result& known) {
       add_to_verdict(check->verdict, id, known);
       if (--check->reads_left == 0) done(check->verdict);
     };
     const Job* job = leading() ? context_.jobs.find(id) : nullptr;
     if (job != nullptr && !job->over())
-      on_read({JobLookup::Known::What::kLive, FinalState::kDone, {}});
+      on_read({JobLookup::Result::RecordStatus::kLive, FinalState::kDone, {}});
     else
-      lookup_.state_with_dependencies(id, on_read);
+      lookup_.read_state_with_dependencies(id, on_read);
   }
 }
 
-void JobAdmission::add_to_verdict(DependencyVerdict& verdict, JobId id, const JobLookup::Known& known) {
-  switch (known.what) {
-    case JobLookup::Known::What::kLive:
+void JobAdmission::add_to_verdict(DependencyVerdict& verdict, JobId id, const JobLookup::Result& known) {
+  switch (known.record_status) {
+    case JobLookup::Result::RecordStatus::kLive:
       verdict.unfinished.push_back(id);
       return;
-    case JobLookup::Known::What::kFinal:
+    case JobLookup::Result::RecordStatus::kFinal:
       if (known.state == FinalState::kCancelled) verdict.any_cancelled = true;
       return;
-    case JobLookup::Known::What::kNever:
+    case JobLookup::Result::RecordStatus::kNeverAccepted:
       verdict.refusal = Refusal{422, "it needs " + protocol::job_id_text(id) + ", which was never accepted"};
       return;
-    case JobLookup::Known::What::kUnknown:
+    case JobLookup::Result::RecordStatus::kUnknown:
       if (!verdict.refusal) verdict.refusal = Refusal{503, "the state service does not answer"};
       return;
   }
@@ -156,7 +156,7 @@
 // ---------------------------------------------------------------- records
 
 // A job that needs a cancelled one is accepted, and cancelled with it.
-void JobAdmission::write_as_cancelled(JobId id, const UserReply& reply) {
+void JobAdmission::write_cancelled_job(JobId id, const UserReply& reply) {
   std::vector<WriteOp> ops{
       WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
       WriteOp{JobLedger::live_key(id), 0, std::nullopt, true}};
@@ -183,7 +183,7 @@
   // What the state service would never take must not be tried again and again.
   if (boost::json::serialize(record).size() + c::kValueSlackBytes > context_.settings.value_bytes())
     return reply(refused(422, "its description is larger than a record may be"));
-  auto& waiting = being_written_[id];
+  auto& waiting = pending_admissions_[id];
   waiting.push_back(reply);
   if (waiting.size() > 1) return;  // the same job is being written already
   std::vector<WriteOp> ops{WriteOp{JobLedger::live_key(id), 0, std::move(record)},
@@ -197,9 +197,9 @@
 
 void JobAdmission::on_written(const Admission& admission, WriteOutcome outcome, std::uint64_t mod_revision) {
   const JobId id = admission.spec.id;
-  const auto found = being_written_.find(id);
+  const auto found = pending_admissions_.find(id);
   const auto replies = std::move(found->second);
-  being_written_.erase(found);
+  pending_admissions_.erase(found);
   if (outcome == WriteOutcome::kConflict) return answer_by_lookup(id, unavailable("try again"), replies);
   UserAnswer answer = unavailable("not written");
   if (outcome == WriteOutcome::kDone) {
--- a/src/coordination/routing/job_admission.hpp
+++ b/src/coordination/routing/job_admission.hpp
@@ -67,10 +67,10 @@
   bool fits_any_machine_type(const protocol::JobSpec& spec) const;
   void check_dependencies(const protocol::JobSpec& spec, const DependenciesChecked& done);
   void read_dependencies(const protocol::JobSpec& spec, const DependenciesChecked& done);
-  static void add_to_verdict(DependencyVerdict& verdict, protocol::JobId id, const JobLookup::Known& known);
+  static void add_to_verdict(DependencyVerdict& verdict, protocol::JobId id, const JobLookup::Result& known);
   void apply_verdict(const protocol::JobSpec& spec, const DependencyVerdict& verdict, const UserReply& reply);
-  void refuse_unless_known(protocol::JobId id, const Refusal& refusal, const UserReply& reply);
-  void write_as_cancelled(protocol::JobId id, const UserReply& reply);
+  void refuse_unless_admitted(protocol::JobId id, const Refusal& refusal, const UserReply& reply);
+  void write_cancelled_job(protocol::JobId id, const UserReply& reply);
   void write(const protocol::JobSpec& spec, const UserReply& reply);
   void on_written(const Admission& admission, bookkeeping::WriteOutcome outcome, std::uint64_t mod_revision);
   void apply_admission(const Admission& admission, std::uint64_t mod_revision);
@@ -84,7 +84,7 @@
   JobLookup& lookup_;
   ChangeLogEntries& change_log_entries_;
   JobChanged job_changed_;
-  std::map<protocol::JobId, std::vector<UserReply>> being_written_;  ///< who waits for each admission
+  std::map<protocol::JobId, std::vector<UserReply>> pending_admissions_;  ///< who waits for each admission
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -17,12 +17,12 @@
 using bookkeeping::JobState;
 using bookkeeping::StateRead;
 using protocol::JobId;
-using What = JobLookup::Known::What;
+using RecordStatus = JobLookup::Result::RecordStatus;
 
 /// One lookup that follows a waiting job's dependencies, with a worklist instead of recursion.
 struct JobLookup::Walk {
   JobId id = 0;
-  Known live;  ///< the answer if nothing that the job needs is cancelled
+  Result live;  ///< the answer if nothing that the job needs is cancelled
   Done done;
   std::vector<JobId> to_check;
   std::set<JobId> seen;
@@ -31,35 +31,36 @@
 JobLookup::JobLookup(ControllerContext& context, std::function<void(JobId)> cancelled)
     : context_(context), cancelled_(std::move(cancelled)) {}
 
-void JobLookup::own_records(JobId id, Done done) {
-  if (const auto state = context_.jobs.final_state(id)) return done({What::kFinal, *state, {}});
+void JobLookup::read_own_records(JobId id, Done done) {
+  if (const auto state = context_.jobs.final_state(id)) return done({RecordStatus::kFinal, *state, {}});
   context_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
     if (live.found == StateRead::Found::kUnknown) return done({});
     // A job moves from live to final and never back, so this order misses none.
     if (live.found == StateRead::Found::kNo) return read_final_record(id, done);
-    if (!JobLedger::is_cancelled(live.value)) return done({What::kLive, FinalState::kDone, live});
+    if (!JobLedger::is_cancelled(live.value)) return done({RecordStatus::kLive, FinalState::kDone, live});
     cancelled_(id);
-    done({What::kFinal, FinalState::kCancelled, {}});
+    done({RecordStatus::kFinal, FinalState::kCancelled, {}});
   });
 }
 
 void JobLookup::read_final_record(JobId id, const Done& done) {
   context_.state.read(JobLedger::final_key(id), [this, id, done](const StateRead& final) {
     if (final.found == StateRead::Found::kUnknown) return done({});
-    if (final.found == StateRead::Found::kNo) return done({What::kNever, FinalState::kDone, {}});
+    if (final.found == StateRead::Found::kNo)
+      return done({RecordStatus::kNeverAccepted, FinalState::kDone, {}});
     const auto state = JobLedger::final_from_record(final.value);
     if (!state) return done({});
     if (*state == FinalState::kCancelled)
       cancelled_(id);
     else
       context_.jobs.remember_final(id, *state);
-    done({What::kFinal, *state, {}});
+    done({RecordStatus::kFinal, *state, {}});
   });
 }
 
-void JobLookup::state_with_dependencies(JobId id, Done done) {
-  own_records(id, [this, id, done = std::move(done)](const Known& known) {
-    if (known.what != What::kLive) return done(known);
+void JobLookup::read_state_with_dependencies(JobId id, Done done) {
+  read_own_records(id, [this, id, done = std::move(done)](const Result& known) {
+    if (known.record_status != RecordStatus::kLive) return done(known);
     const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, context_.now.steady);
     if (!job || job->state != JobState::kWaiting) return done(known);
     follow_dependencies(std::make_shared<Walk>(Walk{id, known, done, job->spec.dependencies, {}}));
@@ -77,20 +78,20 @@
     }
     // A user's poll must not cost the state service any number of reads.
     if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
-    return own_records(next, [this, walk](const Known& known) { on_dependency_read(walk, known); });
+    return read_own_records(next, [this, walk](const Result& known) { on_dependency_read(walk, known); });
   }
   walk->done(walk->live);
 }
 
-void JobLookup::on_dependency_read(const WalkPtr& walk, const Known& dependency) {
-  switch (dependency.what) {
-    case What::kUnknown:
-    case What::kNever:
+void JobLookup::on_dependency_read(const WalkPtr& walk, const Result& dependency) {
+  switch (dependency.record_status) {
+    case RecordStatus::kUnknown:
+    case RecordStatus::kNeverAccepted:
       return walk->done({});
-    case What::kFinal:
+    case RecordStatus::kFinal:
       if (dependency.state == FinalState::kCancelled) return finish_as_cancelled(walk);
       break;
-    case What::kLive: {
+    case RecordStatus::kLive: {
       const auto job =
           JobLedger::from_record(dependency.live.value, dependency.live.mod_revision, context_.now.steady);
       if (!job) return walk->done({});
@@ -105,7 +106,7 @@
 
 void JobLookup::finish_as_cancelled(const WalkPtr& walk) {
   cancelled_(walk->id);
-  walk->done({What::kFinal, FinalState::kCancelled, {}});
+  walk->done({RecordStatus::kFinal, FinalState::kCancelled, {}});
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -48,7 +48,8 @@
 // polls share. One read of the record for each poll exhausted the state service's limit as soon as
 // one controller was away.
 void JobRequests::answer_as_leader(JobId id, const UserReply& reply) {
-  if (context_.cancellations.current(context_.now.steady)) return answer_from_ledger(id, reply);
+  if (context_.cancellations.is_in_memory_state_current(context_.now.steady))
+    return answer_from_ledger(id, reply);
   scheduler_.change_log().after_fresh_read([this, id, reply](bool read) {
     if (!read || !leading()) return reply(unavailable("the state service does not answer"));
     answer_from_ledger(id, reply);
@@ -64,10 +65,10 @@
 }
 
 void JobRequests::answer_from_records(JobId id, const UserReply& reply) {
-  lookup_.state_with_dependencies(id, [this, id, reply](const JobLookup::Known& known) {
+  lookup_.read_state_with_dependencies(id, [this, id, reply](const JobLookup::Result& known) {
     // Its record, read since the poll came, says that it is not cancelled; the leader knows more of its
     // tasks.
-    if (known.what == JobLookup::Known::What::kLive && leading())
+    if (known.record_status == JobLookup::Result::RecordStatus::kLive && leading())
       if (const Job* job = context_.jobs.find(id)) return reply(ledger_answer(*job));
     reply(lookup_answer(id, known, context_.now.steady, refused(404, "no such job")));
   });
@@ -80,20 +81,20 @@
   Job* job = leading() ? context_.jobs.find(id) : nullptr;
   if (job == nullptr) return cancel_on_records(id, c::kAbortTries, reply);
   // Registered first: with a final state on its way the answer is whichever becomes durable.
-  cancelling_[id].push_back(reply);
+  cancellation_replies_[id].push_back(reply);
   scheduler_.cancel(*job);
 }
 
-void JobRequests::job_over(JobId id, FinalState state) {
-  const auto found = cancelling_.find(id);
-  if (found == cancelling_.end()) return;
+void JobRequests::on_job_final_state(JobId id, FinalState state) {
+  const auto found = cancellation_replies_.find(id);
+  if (found == cancellation_replies_.end()) return;
   const auto replies = std::move(found->second);
-  cancelling_.erase(found);
+  cancellation_replies_.erase(found);
   for (const auto& reply : replies) reply(final_state_answer(id, state));
 }
 
-void JobRequests::end() {
-  const auto cancelling = std::exchange(cancelling_, {});
+void JobRequests::fail_waiting_cancellations() {
+  const auto cancelling = std::exchange(cancellation_replies_, {});
   for (const auto& [id, replies] : cancelling)
     for (const auto& reply : replies) reply(unavailable("leadership changes"));
 }
@@ -101,8 +102,8 @@
 // Each try reads the records again: another controller may write them at the same time.
 void JobRequests::cancel_on_records(JobId id, int tries_left, const UserReply& reply) {
   if (tries_left == 0) return reply(unavailable("the job is changing"));
-  lookup_.state_with_dependencies(id, [this, id, tries_left, reply](const JobLookup::Known& known) {
-    if (known.what == JobLookup::Known::What::kLive)
+  lookup_.read_state_with_dependencies(id, [this, id, tries_left, reply](const JobLookup::Result& known) {
+    if (known.record_status == JobLookup::Result::RecordStatus::kLive)
       return write_cancellation(id, known.live, tries_left, reply);
     reply(lookup_answer(id, known, context_.now.steady, refused(404, "no such job")));
   });
--- a/src/coordination/routing/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -35,9 +35,9 @@
   void cancel(protocol::JobId id, const UserReply& reply);
 
   /// The job's final state is durable: answers the cancellations that wait for it.
-  void job_over(protocol::JobId id, bookkeeping::FinalState state);
+  void on_job_final_state(protocol::JobId id, bookkeeping::FinalState state);
   /// This controller is not the leader any more: cancellations that its ledger was to settle get 503.
-  void end();
+  void fail_waiting_cancellations();
 
  private:
   bool leading() const { return scheduler_.knows_all_jobs(); }
@@ -53,7 +53,8 @@
   JobLookup& lookup_;
   ChangeLogEntries change_log_entries_;
   JobAdmission admission_;
-  std::map<protocol::JobId, std::vector<UserReply>> cancelling_;  ///< who waits for each job's final state
+  std::map<protocol::JobId, std::vector<UserReply>>
+      cancellation_replies_;  ///< who waits for each job's final state
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/peer_messages.cpp
+++ b/src/coordination/routing/peer_messages.cpp
@@ -38,21 +38,21 @@
     case PeerKind::kQuota:
       return on_quota_message(message);
     case PeerKind::kProbe:
-      direct_calls_.carry_out(message);
+      direct_calls_.execute_call(message);
       break;
     case PeerKind::kProbeResult:
       direct_calls_.on_peer_result(message);
       break;
   }
-  return FrameOutcome::kTaken;
+  return FrameOutcome::kAccepted;
 }
 
 void Controller::on_status(const PeerMessage& status) {
   if (peers_.apply_status(status, context_.now.steady) == PeerTable::StatusOutcome::kOutdated) return;
   versions_.observe(status.member, status.incarnation);
   election_.on_status(status);
-  context_.cancellations.take_status(status, context_.incarnation);
-  router_.retry_parked();
+  context_.cancellations.apply_peer_status(status, context_.incarnation);
+  router_.retry_parked_heartbeats();
 }
 
 void Controller::on_job_changed(const PeerMessage& message) {
@@ -61,12 +61,13 @@
 
 void Controller::on_cancellations_announced(const PeerMessage& message) {
   for (const auto job : message.jobs) scheduler_.on_cancelled_elsewhere(job);
-  context_.cancellations.take_announced(message);
+  context_.cancellations.apply_announcements(message);
 }
 
 Controller::FrameOutcome Controller::on_quota_message(const PeerMessage& message) {
-  return quota_leases_.take(message.member, message.incarnation, message.body) ? FrameOutcome::kTaken
-                                                                               : FrameOutcome::kMalformed;
+  return quota_leases_.on_peer_message(message.member, message.incarnation, message.body)
+             ? FrameOutcome::kAccepted
+             : FrameOutcome::kMalformed;
 }
 
 void Controller::send_quota_message(const std::string& member, std::string body) {
@@ -96,7 +97,7 @@
     status.state_ok = context_.state.reachable(context_.now.steady);
     if (auto announced = context_.cancellations.unacknowledged(member))
       frames_.send(member, std::move(*announced));
-    context_.cancellations.sign(member, context_.now.steady, status);
+    context_.cancellations.fill_status(member, context_.now.steady, status);
     frames_.send(member, std::move(status));
   }
 }
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 /// Takes the followers in turn; empty if there is none.
-std::string next_in_turn(const std::vector<const std::string*>& followers, std::size_t& position) {
+std::string next_round_robin(const std::vector<const std::string*>& followers, std::size_t& position) {
   if (followers.empty()) return {};
   return *followers[position++ % followers.size()];
 }
@@ -45,7 +45,8 @@
   std::string best;
   std::uint64_t best_term = 0;
   for (const auto& [member, peer] : peers_) {
-    if (!peer.linked || !peer.leading || silence(peer, now) > c::kPeerFreshS || peer.term < best_term)
+    if (!peer.linked || !peer.leading || seconds_since_contact(peer, now) > c::kPeerFreshS ||
+        peer.term < best_term)
       continue;
     best = member;
     best_term = peer.term;
@@ -54,39 +55,40 @@
 }
 
 bool PeerTable::any_in_contact(double now) const {
-  return std::any_of(peers_.begin(), peers_.end(),
-                     [now](const auto& entry) { return silence(entry.second, now) < c::kPeerFreshS; });
+  return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
+    return seconds_since_contact(entry.second, now) < c::kPeerFreshS;
+  });
 }
 
 bool PeerTable::has_ready_leader(double now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
     const Peer& peer = entry.second;
-    return silence(peer, now) <= c::kPeerFreshS && peer.linked && peer.leading && peer.ready;
+    return seconds_since_contact(peer, now) <= c::kPeerFreshS && peer.linked && peer.leading && peer.ready;
   });
 }
 
 bool PeerTable::any_reaches_state(double now) const {
   return std::any_of(peers_.begin(), peers_.end(), [now](const auto& entry) {
-    return silence(entry.second, now) <= c::kPeerFreshS && entry.second.state_ok;
+    return seconds_since_contact(entry.second, now) <= c::kPeerFreshS && entry.second.state_ok;
   });
 }
 
 bool PeerTable::is_fresh_follower(const Peer& peer, double now) {
-  return peer.linked && !peer.leading && silence(peer, now) < c::kPeerFreshS;
+  return peer.linked && !peer.leading && seconds_since_contact(peer, now) < c::kPeerFreshS;
 }
 
 std::string PeerTable::next_heartbeat_follower(double now) {
   std::vector<const std::string*> followers;
   for (const auto& [member, peer] : peers_)
     if (is_fresh_follower(peer, now) && peer.state_ok) followers.push_back(&member);
-  return next_in_turn(followers, next_follower_);
+  return next_round_robin(followers, next_follower_);
 }
 
 std::string PeerTable::next_direct_call_follower(double now) {
   std::vector<const std::string*> followers;
   for (const auto& [member, peer] : peers_)
     if (is_fresh_follower(peer, now)) followers.push_back(&member);
-  return next_in_turn(followers, next_follower_);
+  return next_round_robin(followers, next_follower_);
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -62,7 +62,7 @@
  private:
   static constexpr double kNever = -1e9;
   /// Seconds since the last contact with the peer.
-  static double silence(const Peer& peer, double now) { return now - peer.last_contact; }
+  static double seconds_since_contact(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
   std::map<std::string, Peer> peers_;
--- a/src/coordination/routing/pending_requests.cpp
+++ b/src/coordination/routing/pending_requests.cpp
@@ -29,7 +29,7 @@
   if (state == State::kForwarded) ++forwarded_;
 }
 
-void PendingRequests::settle_here(RequestKey key) { change_state(requests_.at(key), State::kLocal); }
+void PendingRequests::mark_local(RequestKey key) { change_state(requests_.at(key), State::kLocal); }
 
 void PendingRequests::park(RequestKey key) { change_state(requests_.at(key), State::kParked); }
 
--- a/src/coordination/routing/pending_requests.hpp
+++ b/src/coordination/routing/pending_requests.hpp
@@ -38,9 +38,9 @@
   std::string method;  ///< of users' requests only, like the next two
   std::string target;  ///< path, without a query
   std::string body;
-  protocol::Heartbeat heartbeat;  ///< of heartbeats that came here by HTTP, read and checked
-  bool in_full = false;           ///< the leader needs the heartbeat in full
-  std::uint64_t token = 0;        ///< the HTTP connection, unless it came from a peer
+  protocol::Heartbeat heartbeat;         ///< of heartbeats that came here by HTTP, read and checked
+  bool full_heartbeat_required = false;  ///< the leader needs the heartbeat in full
+  std::uint64_t token = 0;               ///< the HTTP connection, unless it came from a peer
   std::optional<PeerOrigin> peer;
   double deadline = 0;  ///< steady s: answered with 503 from then on
 
@@ -76,13 +76,13 @@
   const PendingRequest* find_forwarded(RequestKey key, const std::string& member) const;
 
   /// This controller answers the request itself.
-  void settle_here(RequestKey key);
+  void mark_local(RequestKey key);
   /// The heartbeat waits for a leader.
   void park(RequestKey key);
   /// The request waits for `member`, until `forward_deadline` in steady seconds.
   void forward(RequestKey key, const std::string& member, double forward_deadline);
   /// The leader does not know the heartbeat that a forwarded one refers to.
-  void require_in_full(RequestKey key) { requests_.at(key).in_full = true; }
+  void require_full_heartbeat(RequestKey key) { requests_.at(key).full_heartbeat_required = true; }
   /// Moves the heartbeat out of a request that this controller answers.
   protocol::Heartbeat take_heartbeat(RequestKey key) { return std::move(requests_.at(key).heartbeat); }
   /// Takes the request out, to be answered; nothing if it was answered before.
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 /// Cheaper than reading the whole description: no other field has a name like this.
-bool names_dependencies(const std::string& body) {
+bool mentions_dependencies(const std::string& body) {
   return body.find(std::string("\"") + n::kDependencies + "\"") != std::string::npos;
 }
 }  // namespace
@@ -32,7 +32,7 @@
       peers_(parts.peers),
       frames_(parts.frames),
       pending_((context_.random() >> c::kKeyBits) + 1),
-      forwarded_heartbeats_(context_.per_machine(c::kLastHeartbeatsPerMb)) {}
+      forwarded_heartbeats_(context_.max_machine_entries(c::kLastHeartbeatsPerMb)) {}
 
 // ---------------------------------------------------------------- requests by HTTP
 
@@ -40,7 +40,7 @@
                                                             const std::string& path,
                                                             PendingRequest::Kind kind) {
   // Polls take no place from submissions: a flood of them once had these turned away.
-  if (pending_.in_progress(kind) >= context_.per_memory(c::kUserRequestsPerMb)) return Admission::kTooMany;
+  if (pending_.in_progress(kind) >= context_.max_entries(c::kUserRequestsPerMb)) return Admission::kTooMany;
   PendingRequest pending;
   pending.kind = kind;
   pending.method = request.method;
@@ -95,26 +95,27 @@
   }
   if (leader.empty() || !peers_.is_ready(leader)) return serve(key);
   // A leader of an older version would overlook what the job needs, and run it early.
-  if (names_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
+  if (mentions_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
   forward_user_request(key, leader);
 }
 
 // A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
 void RequestRouter::park(RequestKey key) {
   if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
-  if (pending_.parked() >= context_.per_machine(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.parked() >= context_.max_machine_entries(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
   pending_.park(key);
 }
 
 void RequestRouter::forward_heartbeat(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_machine(c::kForwardPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.forwarded() >= context_.max_machine_entries(c::kForwardPerMb))
+    return refuse_heartbeat(key, 503);
   const PendingRequest& request = pending_.at(key);
   pending_.forward(key, leader, request.deadline);
   PeerMessage message;
   message.kind = PeerKind::kHeartbeat;
   message.request = key;
   message.heartbeat = request.heartbeat;
-  if (!request.in_full) {
+  if (!request.full_heartbeat_required) {
     if (const auto base = forwarded_heartbeats_.unchanged_since(leader, request.heartbeat)) {
       message.kind = PeerKind::kUnchangedHeartbeat;
       message.base_seq = *base;
@@ -124,10 +125,10 @@
 }
 
 void RequestRouter::forward_user_request(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_memory(c::kForwardPerMb))
+  if (pending_.forwarded() >= context_.max_entries(c::kForwardPerMb))
     return answer(key, 503, c::kRetryAfterS, protocol::error_json("too many requests"));
   const PendingRequest& request = pending_.at(key);
-  if (request.target == n::kPathJobs) quota_leases_.grant_submission(leader, request.body);
+  if (request.target == n::kPathJobs) quota_leases_.grant_from_lease(leader, request.body);
   pending_.forward(key, leader, context_.now.steady + c::kForwardTimeoutS);
   PeerMessage message;
   message.kind = PeerKind::kForward;
@@ -139,7 +140,7 @@
 }
 
 void RequestRouter::serve(RequestKey key) {
-  pending_.settle_here(key);
+  pending_.mark_local(key);
   const PendingRequest& request = pending_.at(key);
   if (request.is_heartbeat()) return scheduler_.heartbeat(key, pending_.take_heartbeat(key));
   const auto route = parse_route(request.method, request.target);
@@ -155,7 +156,7 @@
 
 // ---------------------------------------------------------------- events
 
-void RequestRouter::settle_overdue() {
+void RequestRouter::resolve_overdue() {
   const double now = context_.now.steady;
   for (const auto key : pending_.overdue_keys(now)) {
     switch (pending_.overdue(key, now)) {
@@ -174,7 +175,7 @@
   }
 }
 
-void RequestRouter::retry_parked() {
+void RequestRouter::retry_parked_heartbeats() {
   if (leader().empty()) return;
   for (const auto key : pending_.parked_keys()) route(key);
 }
@@ -201,7 +202,7 @@
 // whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it
 // acknowledges it.
 void RequestRouter::announce_cancellation(protocol::JobId id) {
-  if (!context_.cancellations.announce(id)) return;
+  if (!context_.cancellations.record_announcement(id)) return;
   for (const auto& [member, peer] : peers_.all()) {
     PeerMessage message;
     message.kind = PeerKind::kCancellationsAnnounced;
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -22,7 +22,7 @@
 /// Statuses by which a controller declines a request, besides those that its sender gets in the end.
 /// @{
 constexpr int kNotLeading = 421;  ///< it does not lead, and no leader can be reached: to be sent elsewhere
-constexpr int kNeededInFull =
+constexpr int kFullHeartbeatRequired =
     409;  ///< to another controller: the heartbeat that this one refers to is not known
 /// @}
 
@@ -69,9 +69,9 @@
 
   // ---- events ----
   /// Answers or settles what waited too long.
-  void settle_overdue();
+  void resolve_overdue();
   /// Routes the parked heartbeats if there is a leader by now.
-  void retry_parked();
+  void retry_parked_heartbeats();
   /// Routes again what was forwarded to the member: it is not answered over this link any more.
   void on_link_down(const std::string& member);
   /// The scheduler's answer to a heartbeat; `term` is the fencing token that the commands carry.
@@ -93,7 +93,7 @@
   void answer_user(RequestKey key, const UserAnswer& answer);
   void refuse_heartbeat(RequestKey key, int status);
   void announce_cancellation(protocol::JobId id);
-  void learn_final_state(const std::string& job_body);
+  void record_final_state(const std::string& job_body);
 
   ControllerContext& context_;
   Election& election_;
--- a/src/coordination/routing/user_answer.cpp
+++ b/src/coordination/routing/user_answer.cpp
@@ -41,18 +41,18 @@
   return {200, 0, protocol::job_poll_json(job.spec.id, state, job.done_count, running_tasks), std::nullopt};
 }
 
-UserAnswer lookup_answer(JobId id, const JobLookup::Known& known, double now, const UserAnswer& if_never) {
-  switch (known.what) {
-    case JobLookup::Known::What::kLive: {
+UserAnswer lookup_answer(JobId id, const JobLookup::Result& known, double now, const UserAnswer& if_never) {
+  switch (known.record_status) {
+    case JobLookup::Result::RecordStatus::kLive: {
       const auto job = JobLedger::from_record(known.live.value, known.live.mod_revision, now);
       if (!job) return unavailable("the record can't be read");
       return {200, 0, protocol::job_poll_json(id, n::kStateQueued, job->done_count, 0), std::nullopt};
     }
-    case JobLookup::Known::What::kFinal:
+    case JobLookup::Result::RecordStatus::kFinal:
       return final_state_answer(id, known.state);
-    case JobLookup::Known::What::kNever:
+    case JobLookup::Result::RecordStatus::kNeverAccepted:
       return if_never;
-    case JobLookup::Known::What::kUnknown:
+    case JobLookup::Result::RecordStatus::kUnknown:
       break;
   }
   return unavailable("the state service does not answer");
--- a/src/coordination/routing/user_answer.hpp
+++ b/src/coordination/routing/user_answer.hpp
@@ -34,7 +34,7 @@
 /// The state of a job in the leader's ledger.
 UserAnswer ledger_answer(const bookkeeping::Job& job);
 /// The state of a job as it was looked up at `now`, in steady seconds; `if_never` if it was never accepted.
-UserAnswer lookup_answer(protocol::JobId id, const JobLookup::Known& known, double now,
+UserAnswer lookup_answer(protocol::JobId id, const JobLookup::Result& known, double now,
                          const UserAnswer& if_never);
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -35,7 +35,7 @@
 // another controller granted capacity, were counted there.
 void Placements::record_grant_wait(Job& job) {
   if (std::exchange(job.was_placed, true) || job.before || context_.quota.granted(job.spec.id)) return;
-  context_.metrics.record(Metrics::Spread::kGrantWait, context_.now.steady - job.known_at);
+  context_.metrics.record(Metrics::Distribution::kGrantWait, context_.now.steady - job.known_at);
 }
 
 void Placements::add_run(Job& job, std::uint32_t index, TaskRun run, Machine& machine) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,7 +55,7 @@
                      [this](const std::string& frame) {
                        const auto outcome = controller_.on_frame(now(), frame);
                        carry_out();
-                       return outcome == coordination::Controller::FrameOutcome::kTaken;
+                       return outcome == coordination::Controller::FrameOutcome::kAccepted;
                      }),
         state_(std::make_shared<transport::HttpClient>(io_, settings.state.host, settings.state.port,
                                                        c::kStateConnections)),
--- a/tests/coordination/cancellations_test.cpp
+++ b/tests/coordination/cancellations_test.cpp
@@ -31,17 +31,17 @@
     status.kind = protocol::PeerKind::kStatus;
     status.member = name;
     status.incarnation = incarnation;
-    cancellations.sign(other.name, now, status);
+    cancellations.fill_status(other.name, now, status);
     return status;
   }
-  void hear(const protocol::PeerMessage& status) { cancellations.take_status(status, incarnation); }
+  void hear(const protocol::PeerMessage& status) { cancellations.apply_peer_status(status, incarnation); }
   // All that the other has not acknowledged.
   bool deliver_announced(Member& to) {
     auto announced = cancellations.unacknowledged(to.name);
     if (!announced) return false;
     announced->member = name;
     announced->incarnation = incarnation;
-    to.cancellations.take_announced(*announced);
+    to.cancellations.apply_announcements(*announced);
     return true;
   }
   std::string name;
@@ -59,22 +59,22 @@
   void elect(double now) {
     round_trip(b, now - 1, now - 0.9);
     round_trip(c, now - 1, now - 0.9);
-    a.cancellations.elected();
-    a.cancellations.change_log_requested(now);
-    a.cancellations.change_log_read(now);
-    a.cancellations.renewed(now + 0.6);
+    a.cancellations.begin_leadership();
+    a.cancellations.on_change_log_read_started(now);
+    a.cancellations.on_change_log_read_finished(now);
+    a.cancellations.on_leader_key_renewed(now + 0.6);
   }
   double known(double now) { return a.cancellations.known_up_to(now); }
 };
 
 TEST_F(ThreeMembers, NothingIsKnownBeforeTheChangeLogIsRead) {
-  a.cancellations.elected();
+  a.cancellations.begin_leadership();
   round_trip(b, 99, 99.1);
   round_trip(c, 99, 99.1);
   EXPECT_LT(known(100), 0);
-  a.cancellations.change_log_requested(100);
+  a.cancellations.on_change_log_read_started(100);
   EXPECT_LT(known(101), 0);
-  a.cancellations.change_log_read(99.5);
+  a.cancellations.on_change_log_read_finished(99.5);
   // The key was surely ours only up to the renewal.
   EXPECT_DOUBLE_EQ(known(101), 99.5);
 }
@@ -96,8 +96,8 @@
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  EXPECT_TRUE(b.cancellations.announce(7));
-  EXPECT_FALSE(b.cancellations.announce(7));
+  EXPECT_TRUE(b.cancellations.record_announcement(7));
+  EXPECT_FALSE(b.cancellations.record_announcement(7));
   round_trip(b, 110, 110.1);
   round_trip(c, 110, 110.1);
   EXPECT_DOUBLE_EQ(known(111), 101);
@@ -113,7 +113,7 @@
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  b.cancellations.announce(7);  // and ends
+  b.cancellations.record_announcement(7);  // and ends
   Member again("b", kLater);
   for (double at : {110.0, 111.0, 112.0}) {
     round_trip(again, at, at + 0.1);
@@ -121,9 +121,9 @@
   }
   EXPECT_DOUBLE_EQ(known(113), 101);
   // The state service shows what the former process wrote.
-  a.cancellations.change_log_requested(114);
-  a.cancellations.change_log_read(114);
-  a.cancellations.renewed(115);
+  a.cancellations.on_change_log_read_started(114);
+  a.cancellations.on_change_log_read_finished(114);
+  a.cancellations.on_leader_key_renewed(115);
   round_trip(again, 116, 116.1);
   round_trip(c, 116, 116.1);
   EXPECT_DOUBLE_EQ(known(117), 116);
@@ -134,7 +134,7 @@
   round_trip(c, 101, 101.1);
   b.hear(a.status_to(b, 101));
   const auto held = b.status_to(a, 101.1);
-  b.cancellations.announce(7);
+  b.cancellations.record_announcement(7);
   a.hear(held);
   round_trip(c, 120, 120.1);
   a.hear(held);
@@ -155,11 +155,11 @@
   elect(100);
   round_trip(b, 101, 101.1);
   round_trip(c, 101, 101.1);
-  EXPECT_TRUE(a.cancellations.current(102.9));
-  EXPECT_FALSE(a.cancellations.current(103.1));
+  EXPECT_TRUE(a.cancellations.is_in_memory_state_current(102.9));
+  EXPECT_FALSE(a.cancellations.is_in_memory_state_current(103.1));
   // Cut off since then: b tells only when a's in-memory state is surely not current any more.
   c.hear(b.status_to(c, 101.1));
-  b.cancellations.announce(7);
+  b.cancellations.record_announcement(7);
   EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 102));
   EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 103.2));
   EXPECT_TRUE(b.cancellations.acknowledged_by_all(7, 103.5));
@@ -170,7 +170,7 @@
   round_trip(b, 101, 101.1);
   b.hear(c.status_to(b, 101));
   c.hear(b.status_to(c, 101.1));
-  b.cancellations.announce(7);
+  b.cancellations.record_announcement(7);
   EXPECT_FALSE(b.cancellations.acknowledged_by_all(7, 101.2));
   EXPECT_TRUE(b.deliver_announced(a));
   EXPECT_TRUE(b.deliver_announced(c));
@@ -182,35 +182,38 @@
 
 TEST_F(ThreeMembers, ANewProcessWaitsAsTheOneBeforeWouldHave) {
   Member again("b", kLater);
-  again.cancellations.announce(7);
+  again.cancellations.record_announcement(7);
   EXPECT_FALSE(again.cancellations.acknowledged_by_all(7, 50));
   EXPECT_FALSE(again.cancellations.acknowledged_by_all(7, 52));
   EXPECT_TRUE(again.cancellations.acknowledged_by_all(7, 52.3));
 }
 
 TEST_F(ThreeMembers, WhatIsKeptIsBounded) {
-  for (std::uint64_t job = 1; job <= constants::kAnnouncedKept + 10; ++job) b.cancellations.announce(job);
+  for (std::uint64_t job = 1; job <= constants::kAnnouncedKept + 10; ++job)
+    b.cancellations.record_announcement(job);
   EXPECT_EQ(b.cancellations.announced(), constants::kAnnouncedKept + 10);
   const auto first = b.cancellations.unacknowledged("a");
   ASSERT_TRUE(first);
   EXPECT_EQ(first->first, 11u);
   EXPECT_LE(first->jobs.size(), constants::kAnnouncedBatch);
   // A leader that was never brought that far is not told that it was.
-  a.cancellations.elected();
+  a.cancellations.begin_leadership();
   auto announced = *first;
   announced.member = "b";
   announced.incarnation = kStarted;
-  a.cancellations.take_announced(announced);
+  a.cancellations.apply_announcements(announced);
   a.hear(b.status_to(a, 10));
   EXPECT_LT(known(20), 0);
 }
 
 TEST(AnswerBound, FollowsFromTheSite) {
-  EXPECT_NEAR(Cancellations(site("a", 10, 35)).answer_s(), 25 - constants::kCancellationMarginS, 0.1);
-  EXPECT_FALSE(Cancellations(site("a", 44, 74)).strict());
-  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).answer_s(), constants::kDegradedBoundS);
-  EXPECT_TRUE(Cancellations(site("a", 30, 31)).strict());
-  EXPECT_TRUE(Cancellations(site("a", 60, 30)).strict());
+  EXPECT_NEAR(Cancellations(site("a", 10, 35)).heartbeat_answer_window_s(),
+              25 - constants::kCancellationMarginS, 0.1);
+  EXPECT_FALSE(Cancellations(site("a", 44, 74)).only_leader_announces());
+  EXPECT_DOUBLE_EQ(Cancellations(site("a", 10, 1000)).heartbeat_answer_window_s(),
+                   constants::kDegradedBoundS);
+  EXPECT_TRUE(Cancellations(site("a", 30, 31)).only_leader_announces());
+  EXPECT_TRUE(Cancellations(site("a", 60, 30)).only_leader_announces());
 }
 
 }  // namespace
