--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The events of one controller: ticks, requests, call results, links and frames. Messages of other
-/// controllers are in routing/peer_messages.cpp.
+/// Event handlers of a controller: ticks, requests, call results, links and frames. The handlers of messages
+/// from other controllers are in routing/peer_messages.cpp.
 #include "coordination/controller.hpp"
 
 #include <utility>
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -21,37 +21,39 @@
 
 namespace robinford::coordination {
 
-/// Owns the parts of one controller, and hands each event to the part that it concerns. It does no I/O and
-/// reads no clock: every event brings a clock reading, and leaves its actions in the outbox, which the
-/// caller takes after each event. Not thread-safe.
+/// Owns the components of one controller and dispatches each event to the component that handles it. It does
+/// no I/O and reads no clock: each event comes with a clock reading and puts the resulting actions into the
+/// outbox, which the caller takes after each event. Not thread-safe.
 class Controller {
  public:
-  /// What became of a frame from another controller.
+  /// Result of processing a frame from another controller.
   enum class FrameOutcome : std::uint8_t {
     kAccepted,
-    kMalformed,  ///< a part of it could not be read, or its sender is unknown
+    kMalformed,  ///< a part of the frame could not be decoded, or its sender is unknown
   };
 
-  /// `incarnation` names this process among all processes of this member, and grows with its start time;
-  /// `seed` is that of the random numbers.
+  /// `incarnation` identifies this process among all processes of this member and increases with the start
+  /// time. `seed` initializes the random number generator.
   Controller(const protocol::Settings& settings, const protocol::Policy& policy, std::uint64_t incarnation,
              std::uint64_t seed, const quota::LeaseOptions& lease_options = {});
 
-  /// Time has passed. To be called every few tens of milliseconds; also sends the frames to other
-  /// controllers.
+  /// Runs the timers and sends the buffered frames to the other controllers. Must be called every few tens of
+  /// milliseconds.
   void on_tick(const protocol::ClockReading& now);
-  /// A request of a worker or user. Its reply follows in this or a later step, under the request's token.
+  /// Handles a request of a worker or a user. The reply carries the request's token and is issued in this
+  /// step or a later one.
   void on_request(const protocol::ClockReading& now, const protocol::HttpRequest& request);
-  /// The answer to a call of an earlier outbox, or its failure.
+  /// Handles the result of a call from an earlier outbox: a response or a failure.
   void on_result(const protocol::ClockReading& now, std::uint64_t call, const protocol::CallResult& result);
-  /// This controller's link to another one is up or down.
+  /// Handles a change of the link to another controller.
   void on_link(const protocol::ClockReading& now, const std::string& member, bool up);
-  /// A frame from another controller. Messages of it that can be read take effect even if others can't.
+  /// Handles a frame from another controller. If a message in a decoded frame is rejected, the other messages
+  /// of the frame still take effect.
   FrameOutcome on_frame(const protocol::ClockReading& now, const std::string& frame);
-  /// The process ends soon: leadership is handed over, and no other step starts an election.
+  /// Prepares for the end of the process: resigns leadership and stops taking part in elections.
   void on_terminate(const protocol::ClockReading& now);
 
-  /// Takes the actions since the last call.
+  /// Removes and returns the actions that were added since the last call.
   protocol::Outbox take_outbox();
   const Election& election() const { return election_; }
   const Scheduler& scheduler() const { return scheduler_; }
--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the parts of one controller share.
+/// State and services that the components of one controller share.
 #pragma once
 
 #include <algorithm>
@@ -26,11 +26,13 @@
 
 namespace robinford::coordination {
 
-/// In-memory state, the clients of the services, the clock reading and the actions of the present step. The
-/// controller owns it and sets `now` at the start of each step; its parts hold references and outlive none of
-/// it. Neither copied nor moved, since its members refer to one another.
+/// Holds the in-memory state, the clients of external services, and the clock reading and actions of the
+/// current step. The controller owns the context and sets `now` at the start of each step; its components
+/// hold references to the context and must not outlive it. It can be neither copied nor moved, since its
+/// members refer to one another.
 struct ControllerContext {
-  /// `own_incarnation` names this process among all of its member; `seed` is that of `random`.
+  /// `own_incarnation` identifies this process among all processes of its member; `seed` initializes
+  /// `random`.
   ControllerContext(const protocol::Settings& site_settings, const protocol::Policy& site_policy,
                     std::uint64_t own_incarnation, std::uint64_t seed)
       : settings(site_settings),
@@ -48,8 +50,8 @@
   const protocol::Settings settings;
   const protocol::Policy policy;
   const std::uint64_t incarnation;
-  std::mt19937_64 random;      ///< the only source of random numbers: runs with equal seeds are equal
-  protocol::ClockReading now;  ///< of the present step
+  std::mt19937_64 random;      ///< the only source of random numbers, so that equal seeds give equal runs
+  protocol::ClockReading now;  ///< of the current step
   protocol::Outbox out;        ///< actions since the caller last took them
   bookkeeping::CallTable calls;
   bookkeeping::StateClient state;
@@ -60,22 +62,24 @@
   Cancellations cancellations;
   BootTimes boots;
   Metrics metrics;
-  /// Called when a job's final state is durable.
+  /// Called once the final state of a job is durable.
   std::function<void(protocol::JobId, bookkeeping::FinalState)> on_job_final_state;
-  /// The machine types by name; empty while they are not known.
+  /// Machine types by name; empty until the catalog has been read.
   std::map<std::string, protocol::MachineType> types;
 
-  /// The bound of a queue or cache that grows with the memory that the settings grant.
+  /// Maximum number of entries of a queue or cache, in proportion to the memory in the settings.
   std::size_t max_entries(double entries_per_mb) const {
     return static_cast<std::size_t>(std::max(kBoundLeast, settings.memory_mb * entries_per_mb));
   }
-  /// The same of one with an entry for each machine: never less than the largest fleet that is served.
+  /// Like `max_entries`, for a queue or cache with one entry per machine: never less than the size of the
+  /// largest supported fleet.
   std::size_t max_machine_entries(double entries_per_mb) const {
     return std::max(constants::kMachinesLeast, max_entries(entries_per_mb));
   }
-  /// A random number of [0, limit), evenly distributed.
+  /// Returns a uniformly distributed random number in [0, limit).
   double random_below(double limit) { return std::uniform_real_distribution<double>(0, limit)(random); }
-  /// The team's weight beside other teams: by the operators' policy, else by its guaranteed resources.
+  /// Returns the team's fair-share weight: the weight in the operators' policy if there is one, otherwise the
+  /// sum of its guaranteed CPUs and GPUs, or `kDefaultShare` if it has none.
   double share_of(const std::string& team) const {
     if (const auto found = policy.shares.find(team); found != policy.shares.end()) return found->second;
     const auto* known = settings.team(team);
@@ -85,7 +89,7 @@
   }
 
  private:
-  static constexpr double kBoundLeast = 16;  // entries that any queue or cache may hold
+  static constexpr double kBoundLeast = 16;  // minimum capacity of any queue or cache, in entries
   static constexpr double kDefaultShare = 1.0;
 };
 
--- a/src/coordination/metrics.cpp
+++ b/src/coordination/metrics.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A distribution's name on the page, where they stand in this order.
+/// Name of a distribution on the page, which lists the distributions in the order of `kDistributionNames`.
 struct DistributionName {
   Metrics::Distribution distribution;
   const char* name;
@@ -48,7 +48,7 @@
     histograms_.emplace(distribution, histogram::make_histogram(axis));
 }
 
-// A logarithmic axis has no place for zero.
+// A logarithmic axis can't represent zero.
 void Metrics::record(Distribution distribution, double seconds) {
   histograms_.at(distribution)(std::max(seconds, c::kSpreadLeastS));
 }
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -9,15 +9,15 @@
 
 namespace robinford::coordination {
 
-/// Owns all measured values of one controller, and renders them as the text page of the metrics endpoint.
-/// A name appears on the page once it has a value; it stays for the life of the process.
+/// Owns all metrics of one controller and renders them as the text page of the metrics endpoint. A counter or
+/// gauge is on the page from its first value until the process ends.
 class Metrics {
  public:
-  /// The distributions that are measured, all in seconds.
+  /// Distributions of durations in seconds.
   enum class Distribution {
-    kGangWait,         ///< from a gang's submission to the first run of a task
-    kArrayWait,        ///< the same of an array
-    kRound,            ///< a placement round; on the page for its readers, though nothing records it
+    kGangWait,         ///< from a gang's submission until one of its tasks first runs
+    kArrayWait,        ///< the same for an array
+    kRound,            ///< of a placement round; kept for readers of the page, though nothing records it
     kFailover,         ///< from an election to the new leader's first launch
     kHeartbeatAnswer,  ///< from a heartbeat to its answer; on the page, though nothing records it
     kGrantWait,        ///< from a job's arrival at this controller to its first grant of capacity
@@ -25,13 +25,13 @@
 
   Metrics();
 
-  /// Adds to a counter; `name` without prefix and suffix.
+  /// Adds to a counter; `name` is without the prefix and suffix used on the page.
   void count(const char* name, std::uint64_t by = 1) { counters_[name] += by; }
   /// Sets a gauge.
   void gauge(const char* name, double value) { gauges_[name] = value; }
   /// Adds a value to a distribution.
   void record(Distribution distribution, double seconds);
-  /// All values as text, one a line, in the format that Prometheus reads.
+  /// Renders all metrics in the Prometheus text format, one value per line.
   std::string page() const;
 
  private:
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -98,7 +98,7 @@
 
 bool QuotaLeases::on_peer_message(const std::string& member, std::uint64_t incarnation,
                                   const std::string& body) {
-  // A controller without the switch takes no part: its lessees' leases simply end.
+  // A controller with quota leases disabled ignores these messages, so the leases of its lessees expire.
   if (!options_.enabled) return true;
   return quota::is_lessor_message(body) ? on_lessor_message(member, body)
                                         : on_lessee_message(member, incarnation, body);
@@ -111,7 +111,7 @@
     lessor_.bad_message();
     return false;
   }
-  // A leader that stood still and is none any more must not renew anything.
+  // A leader that was paused until its own lease expired must not renew quota leases.
   if (!election_.valid()) return true;
   if (const auto reply = lessor_.take(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
@@ -175,7 +175,7 @@
       bookkeeping::WriteClass::kFleet);
 }
 
-// ---------------------------------------------------------------- watching it
+// ---------------------------------------------------------------- monitoring
 
 void QuotaLeases::set_gauges() {
   if (!options_.enabled) return;
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -1,5 +1,5 @@
-// Quota leases in one controller: connects lessee and lessor with the state service, the other controllers
-// and the leader's account of the teams' limits.
+// Quota leases in one controller: connects the lessee and the lessor with the state service, the other
+// controllers and the leader's accounting of team quotas.
 #pragma once
 
 #include <cstdint>
@@ -17,24 +17,25 @@
 
 class QuotaLeases {
  public:
-  // Carries the body of a frame to another controller.
+  // Sends a message body to another controller.
   using Send = std::function<void(const std::string& member, std::string body)>;
   QuotaLeases(ControllerContext& context, Election& election, const PeerVersions& versions,
               const quota::LeaseOptions& options, Send send);
 
   void begin_leadership();
   void end_leadership();
-  // `leader`: the member that leads, as far as is known here; empty for none.
+  // `leader` is the member that leads as far as this controller knows; empty if none is known.
   void tick(const std::string& leader);
-  // A submission goes to the leader: what this controller's lease covers is granted, and told ahead of it.
+  // Called before a submission is forwarded to `leader`. Grants the part of it that this controller's lease
+  // covers, and sends the grants to the leader ahead of the submission.
   void grant_from_lease(const std::string& leader, const std::string& body);
-  // The body of another controller's frame. False: it makes no sense.
+  // Handles the body of another controller's message. Returns false if it can't be decoded.
   bool on_peer_message(const std::string& member, std::uint64_t incarnation, const std::string& body);
   void set_gauges();
 
   const quota::Lessee& lessee() const { return lessee_; }
   const quota::Lessor& lessor() const { return lessor_; }
-  // What is wrong with the running sums; empty when nothing is. For tests.
+  // Returns a description of an error in the running totals; empty if they are consistent. For tests.
   std::string audit() const;
 
  private:
@@ -57,7 +58,8 @@
   quota::Lessee lessee_;
   quota::Lessor lessor_;
   double next_renewal_ = 0, next_load_ = 0;
-  std::uint64_t generation_ = 0;  // of leadership and of loading, so that late answers are known as such
+  std::uint64_t generation_ =
+      0;  // changes with leadership and with each load, so that late results are ignored
   std::vector<quota::StoredLease> loading_;
 };
 
--- a/src/coordination/routing/announcement_log.hpp
+++ b/src/coordination/routing/announcement_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The cancellations that this process announced to users, numbered.
+/// A numbered log of the cancellations that this process announced to users.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace robinford::coordination {
 
-/// Numbers announced cancellations from 1 in the order in which they were announced, and keeps the last
-/// `kAnnouncedKept` of them for members that missed them. A member that lags further can't be brought up to
-/// date message by message: its chain keeps a gap, which only a read of the change log closes.
+/// Numbers announced cancellations from 1 in the order of announcement, and keeps the last `kAnnouncedKept`
+/// of them for members that missed them. A member that lags further can't be brought up to date by messages:
+/// its sequence keeps a gap until it reads the change log.
 class AnnouncementLog {
  public:
   /// Consecutive entries of the log.
@@ -23,13 +23,15 @@
     std::vector<protocol::JobId> jobs;
   };
 
-  /// Appends the job; nothing happens if it is among those that are kept. Returns the number of a new entry.
+  /// Appends the job and returns the number of the new entry; does nothing if the log already contains the
+  /// job.
   std::optional<std::uint64_t> append(protocol::JobId id);
-  /// Number of the last entry; 0 if there is none.
+  /// Returns the number of the last entry; 0 if there is none.
   std::uint64_t last_number() const { return first_kept_ + jobs_.size() - 1; }
-  /// The job's number, if it is kept.
+  /// Returns the job's number if the log still contains it.
   std::optional<std::uint64_t> number_of(protocol::JobId id) const;
-  /// The kept entries after `number`, at most `kAnnouncedBatch` of them; there is at least one.
+  /// Returns the entries after `number` that are still in the log, at most `kAnnouncedBatch` of them.
+  /// Requires `number` < `last_number()`.
   Batch batch_after(std::uint64_t number) const;
 
  private:
--- a/src/coordination/routing/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -17,12 +17,12 @@
 
 constexpr double kMsPerS = 1000;
 
-/// A probe is the time of its sending, by the steady clock in ms; the probing process reads it back from the
-/// echo.
+/// A probe is the time at which it was sent, in ms of the sender's steady clock. The sender decodes the time
+/// from the echo.
 std::uint64_t encode_probe(double now) { return static_cast<std::uint64_t>(std::max(0.0, now * kMsPerS)); }
 double decode_probe_time(std::uint64_t probe) { return static_cast<double>(probe) / kMsPerS; }
 
-/// When a process started, by its own wall clock, in seconds since 1970.
+/// Returns the start time of a process by its own wall clock, in seconds since 1970.
 double start_time_s(std::uint64_t incarnation) {
   return static_cast<double>(incarnation >> c::kIncarnationBits) / kMsPerS;
 }
@@ -82,9 +82,9 @@
 
 // ---------------------------------------------------------------- announcements of others
 
-// A late message of an earlier process of that member proves nothing. A process that is back within the
-// clock's error may seem to have started before the one that it follows: that costs its chain, and nothing
-// else.
+// A delayed message of an earlier process says nothing about the member's current process. Start times that
+// differ by less than twice the clock error can't be ordered, so such a message is accepted. At worst that
+// clears `announcements_contiguous`, which is set again after a read of the change log.
 bool Cancellations::is_from_earlier_process(const PeerMessage& message) const {
   const auto found = peers_.find(message.member);
   if (found == peers_.end()) return true;
@@ -94,8 +94,8 @@
 Cancellations::Peer& Cancellations::peer_for_process(const PeerMessage& message) {
   Peer& peer = peers_.at(message.member);
   if (peer.incarnation == message.incarnation) return peer;
-  // What its earlier process announced in its last moments is not known from the new one: the state service
-  // has to show it. So the times stay, and the chain begins anew.
+  // The new process does not report what the earlier one announced last; only a read of the change log shows
+  // that. So the times are kept, while the counters and `announcements_contiguous` are reset.
   Peer successor;
   successor.incarnation = message.incarnation;
   successor.known_at = peer.known_at;
@@ -107,7 +107,8 @@
 void Cancellations::apply_announcements(const PeerMessage& message) {
   if (is_from_earlier_process(message)) return;
   Peer& peer = peer_for_process(message);
-  // A message beyond the next number shows a gap: what is missing comes with a later status.
+  // A first number beyond the next expected one means that announcements are missing; they are sent again
+  // with a later status.
   if (message.first <= peer.known + 1)
     peer.known = std::max(peer.known, message.first + message.jobs.size() - 1);
 }
@@ -122,11 +123,12 @@
     if (peer.announcements_contiguous && peer.known >= status.announced)
       peer.known_at = std::max(peer.known_at, decode_probe_time(status.echo));
   }
-  // Whoever is elected reads all that is durable: until then there is nothing to catch up with.
+  // An elected leader reads all durable cancellations, so before its election this controller need not track
+  // missing announcements.
   if (!leading_) peer.known = std::max(peer.known, peer.announced);
 }
 
-// ---------------------------------------------------------------- proofs by the state service
+// ---------------------------------------------------------------- confirmation by the state service
 
 void Cancellations::begin_leadership() {
   leading_ = true;
@@ -154,8 +156,8 @@
 void Cancellations::on_change_log_read_finished(double renewed) {
   if (!open_read_) return;
   last_read_started_at_ = std::max(last_read_started_at_, open_read_->at);
-  // An older one that still waits for a renewal stays: reads that follow one another closely would otherwise
-  // keep replacing it.
+  // An older read that still awaits a renewal is kept: otherwise reads in quick succession would keep
+  // replacing it, and none would ever be confirmed.
   if (!unconfirmed_read_) unconfirmed_read_ = std::move(open_read_);
   open_read_.reset();
   advance_confirmed_time(renewed);
@@ -167,8 +169,9 @@
 
 void Cancellations::on_leader_key_renewed(double sent) {
   advance_confirmed_time(sent);
-  // The leader key was ours when the change-log entries were read: nobody else can have made a cancellation
-  // durable without one. What a member had announced before that stands in what was read.
+  // This process still held the leader key when the read began, so no other controller can have made a
+  // cancellation durable without a change-log entry. The read therefore includes everything that a member had
+  // announced before it.
   if (!unconfirmed_read_ || sent < unconfirmed_read_->at) return;
   for (const auto& [member, at_read] : unconfirmed_read_->counts) {
     Peer& peer = peers_.at(member);
@@ -179,7 +182,7 @@
   unconfirmed_read_.reset();
 }
 
-// ---------------------------------------------------------------- what is known
+// ---------------------------------------------------------------- queries
 
 double Cancellations::known_up_to(double now) const {
   double proved_by_members = now;
--- a/src/coordination/routing/cancellations.hpp
+++ b/src/coordination/routing/cancellations.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Which cancellations were announced to users, and how far this controller surely knows of all that anybody
-/// announced. It bounds how long a leader answers heartbeats: docs/design.md, "Cancellations".
+/// Tracks which cancellations were announced to users, and up to which time this controller is certain to
+/// know the announcements of all controllers. This limits how long a leader answers heartbeats:
+/// docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
@@ -14,84 +15,89 @@
 
 namespace robinford::coordination {
 
-/// Owns the announcements of this process, and for each other member what is known of the announcements of
-/// both sides. All times are seconds of the steady clock.
+/// Owns the log of this process's announcements. For each other member it tracks which of that member's
+/// announcements are known here, and which of this process's announcements that member has acknowledged. All
+/// times are seconds of the steady clock.
 ///
-/// Invariant: every cancellation that any controller announced before `known_up_to` is known to this one. Two
-/// proofs advance that time: a read of the change log followed by a renewal of the leader key, and a probe
-/// that every member echoed with all of its announcements delivered.
+/// Invariant: this controller knows every cancellation that any controller announced before `known_up_to`.
+/// Two events advance that time: a read of the change log that is followed by a renewal of the leader key,
+/// and a probe that every member has echoed after all of its announcements arrived here.
 class Cancellations {
  public:
   explicit Cancellations(const protocol::Settings& settings);
 
   // ---- announcements of this controller ----
-  /// A user is about to get the answer that the job is cancelled. True: for the first time by this process,
-  /// so the other controllers have to know it too.
+  /// Adds a job to the log, before a user is told that it is cancelled. Returns true if the job is a new
+  /// entry, which the caller then has to send to the other controllers.
   bool record_announcement(protocol::JobId id);
-  /// How many cancellations this process has announced.
+  /// Returns the number of cancellations that this process has announced.
   std::uint64_t announced() const { return log_.last_number(); }
-  /// No other controller can still answer from in-memory state that lacks it: each has acknowledged it, or
-  /// was last vouched for so long ago that its in-memory state is not current.
+  /// Returns whether no other controller can still answer from in-memory state that lacks the cancellation.
+  /// For each of them, either it has acknowledged the announcement, or the last echo of its probe was sent so
+  /// long ago that it no longer regards its in-memory state as current.
   bool acknowledged_by_all(protocol::JobId id, double now);
-  /// What `member` has not acknowledged, as a message; nothing when there is nothing.
+  /// Returns a message with announcements that `member` has not acknowledged; empty if there are none.
   std::optional<protocol::PeerMessage> unacknowledged(const std::string& member) const;
-  /// Adds to a status to `member` the part that proves what this controller knows, and a probe of `member`.
+  /// Adds this controller's announcement counters to a status for `member`, together with a new probe and the
+  /// echo of that member's last probe.
   void fill_status(const std::string& member, double now, protocol::PeerMessage& status);
 
   // ---- announcements of others ----
-  /// A message of kind kCancellationsAnnounced; the caller has applied the cancellations that it names.
+  /// Handles a message of kind kCancellationsAnnounced, after the caller has applied the cancellations in it.
   void apply_announcements(const protocol::PeerMessage& message);
-  /// The signed part of a status.
+  /// Handles the fields of another member's status that `fill_status` wrote there.
   void apply_peer_status(const protocol::PeerMessage& status, std::uint64_t own_incarnation);
 
-  // ---- proofs by the state service ----
-  /// This controller leads from now on; nothing is known yet.
+  // ---- confirmation by the state service ----
+  /// Called when this controller becomes the leader: discards all earlier confirmations.
   void begin_leadership();
-  /// It does not lead any more.
+  /// Called when this controller stops being the leader.
   void end_leadership();
-  /// A read of the whole change log begins.
+  /// Called when a read of the whole change log begins.
   void on_change_log_read_started(double now);
-  /// That read is complete; `renewed` is when the last answered renewal of the leader key was sent.
+  /// Called when that read is complete; `renewed` is the time at which the last confirmed renewal of the
+  /// leader key was sent.
   void on_change_log_read_finished(double renewed);
-  /// A renewal of the leader key that was sent at `sent` is answered.
+  /// Called when a renewal of the leader key that was sent at `sent` has succeeded.
   void on_leader_key_renewed(double sent);
 
-  /// The time up to which every announced cancellation is surely known here.
+  /// Returns the time up to which every announced cancellation is certain to be known here.
   double known_up_to(double now) const;
-  /// The same, by the change log alone.
+  /// Returns when the last complete read of the change log began.
   double change_log_read_up_to() const { return last_read_started_at_; }
-  /// The in-memory state may speak for all controllers: each was in touch so lately that it has announced
-  /// nothing that is missing here.
+  /// Returns whether answers from the in-memory state are up to date: for each other member, the probe
+  /// whose echo last confirmed its announcements was sent less than `kInMemoryStateFreshS` ago.
   bool is_in_memory_state_current(double now) const;
 
-  // ---- the bound that follows ----
-  /// Seconds after `known_up_to` for which a heartbeat may be answered.
+  // ---- limits on answering heartbeats ----
+  /// Returns how long after `known_up_to` a heartbeat may be answered.
   double heartbeat_answer_window_s() const { return heartbeat_answer_window_s_; }
-  /// Too little time is left between a lease and a cancellation to let the in-memory state lag at all: then
-  /// only the leader announces, and only once no former leader can be answering heartbeats.
+  /// Returns whether the cancellation deadline exceeds the lease by too little time to tolerate any lag of
+  /// the in-memory state. Then only the leader announces cancellations, and only once no former leader can
+  /// still be answering heartbeats.
   bool only_leader_announces() const { return only_leader_announces_; }
 
  private:
   static constexpr double kNever = -1e9;
-  /// What is known of another member, by its present process unless said otherwise.
+  /// State of another member. The counters refer to its current process.
   struct Peer {
     std::uint64_t incarnation = 0;
     std::uint64_t announced = 0;            ///< how many cancellations it says that it has announced
-    std::uint64_t known = 0;                ///< up to this number they are known here
-    bool announcements_contiguous = false;  ///< ...and all that its earlier processes announced, too
-    double known_at = kNever;               ///< up to this time all its announcements are known here
-    std::uint64_t probe = 0;                ///< its last probe, to be echoed
-    double last_echo_sent_at =
-        kNever;                      ///< when it was last vouched that all announcements here are known to it
-    std::uint64_t acknowledged = 0;  ///< up to this number it knows the announcements of this process
+    std::uint64_t known = 0;                ///< number up to which its announcements are known here
+    bool announcements_contiguous = false;  ///< those of its earlier processes are known here, too
+    double known_at = kNever;               ///< time up to which all its announcements are known here
+    std::uint64_t probe = 0;                ///< its last probe, to be echoed in the next status
+    double last_echo_sent_at = kNever;      ///< when this process last sent it a status that echoes its probe
+    std::uint64_t acknowledged = 0;         ///< number up to which it knows the announcements of this process
   };
-  /// The announcements of one process, when a read of the change log began.
+  /// Number of announcements of one process when a read of the change log began.
   struct AnnouncedCount {
     std::uint64_t incarnation = 0;
     std::uint64_t count = 0;
   };
+  /// What the other members had announced when a read of the change log began.
   struct Snapshot {
-    double at = 0;
+    double at = 0;                                 ///< when the read began
     std::map<std::string, AnnouncedCount> counts;  ///< by member
   };
 
@@ -104,13 +110,13 @@
   double heartbeat_answer_window_s_ = 0;
   bool only_leader_announces_ = false;
   bool leading_ = false;
-  std::optional<double> started_at_;  ///< an earlier process may have vouched until then
+  std::optional<double> started_at_;  ///< earlier processes of this member may have sent echoes until then
   AnnouncementLog log_;
   std::map<std::string, Peer> peers_;
   double last_read_started_at_ = kNever;      ///< when the last complete read of the change log began
-  double confirmed_up_to_ = kNever;           ///< the time that the state service proves
-  std::optional<Snapshot> open_read_;         ///< of the read of the change log that is open
-  std::optional<Snapshot> unconfirmed_read_;  ///< of a complete read that waits for a later renewal
+  double confirmed_up_to_ = kNever;           ///< the part of `known_up_to` that the state service confirms
+  std::optional<Snapshot> open_read_;         ///< of the change log read in progress
+  std::optional<Snapshot> unconfirmed_read_;  ///< of a complete read that awaits a later renewal
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/change_log_entries.hpp
+++ b/src/coordination/routing/change_log_entries.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The change-log entries that this process writes: docs/design.md, "Cancellations".
+/// Builds the change-log entries of this process: docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace robinford::coordination {
 
-/// Numbers the entries, so that no two of this process have the same key. Each goes into the transaction of
-/// the change that it records, from which the leader learns of a change that it did not make itself.
+/// Numbers the entries so that each has its own key. An entry is written in the same transaction as the
+/// change that it records; the leader reads the entries to learn of changes that other controllers made.
 class ChangeLogEntries {
  public:
   explicit ChangeLogEntries(std::uint64_t incarnation) : incarnation_(incarnation) {}
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -34,8 +34,8 @@
 }
 
 void DirectCalls::execute_call(const PeerMessage& probe) {
-  const std::string& requester = probe.member;  // empty: this leader itself
-  // Calls for others must not exhaust the connections that this controller needs for its own clients.
+  const std::string& requester = probe.member;  // empty if this leader makes its own call
+  // Calls for other controllers must not exhaust the connections that this controller needs for its clients.
   const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
   if (!requester.empty() && open_calls_ >= limit) return finish(requester, probe.request, 0, nullptr);
   ++open_calls_;
@@ -70,7 +70,7 @@
 }
 
 void DirectCalls::on_peer_result(const PeerMessage& result) {
-  // A result that comes after its deadline was reported as unanswered already.
+  // A call whose deadline has passed was already reported as unanswered.
   if (delegated_.erase(result.request) == 0) return;
   scheduler_.direct_answer(result.request, static_cast<int>(result.status),
                            result.status != 0 ? &result.heartbeat : nullptr);
--- a/src/coordination/routing/direct_calls.hpp
+++ b/src/coordination/routing/direct_calls.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// Direct calls to workers, made by this controller or by another one for it: docs/design.md, "Direct
-/// launches".
+/// Direct calls to workers, made by the leader or delegated to a follower: docs/design.md, "Direct launches".
 #pragma once
 
 #include <cstdint>
@@ -15,25 +14,27 @@
 
 namespace robinford::coordination {
 
-/// Owns the direct calls that other controllers make for this leader, and counts those that this controller
-/// has open. Each call costs a connection, so a leader has its followers make them in turn, and makes them
-/// itself only when there is none. The scheduler hears of each call once, with status 0 if no answer came.
+/// Tracks the direct calls that this leader has delegated to followers, and counts the calls that this
+/// controller itself has in flight. Each call costs a connection, so a leader delegates the calls to its
+/// followers in turn and makes a call itself only if there is no follower. The scheduler receives exactly one
+/// result for each call, with status 0 if there was no answer.
 class DirectCalls {
  public:
   DirectCalls(ControllerContext& context, const Election& election, Scheduler& scheduler, PeerTable& peers,
               PeerFrames& frames);
 
-  /// Makes the call for this leader, here or through a follower.
+  /// Starts a call of this leader, through a follower if there is one.
   void start(const DirectCall& call);
-  /// Another controller asks for a call, by a message of kind kProbe.
+  /// Makes the call that a message of kind kProbe requests, for another controller or for this leader itself.
   void execute_call(const protocol::PeerMessage& probe);
-  /// A follower answered a call, by a message of kind kProbeResult.
+  /// Handles a follower's result of a delegated call, a message of kind kProbeResult.
   void on_peer_result(const protocol::PeerMessage& result);
-  /// Reports the calls that followers did not answer in time.
+  /// Reports delegated calls whose deadline has passed as unanswered.
   void tick();
 
  private:
-  /// What a worker answered to a call; null heartbeat: nothing that can be used.
+  /// Reports a worker's answer to the controller that requested the call. A null heartbeat means that there
+  /// was no usable answer.
   void finish(const std::string& requester, std::uint64_t id, int status,
               const protocol::Heartbeat* heartbeat);
 
@@ -42,8 +43,8 @@
   Scheduler& scheduler_;
   PeerTable& peers_;
   PeerFrames& frames_;
-  std::map<std::uint64_t, double> delegated_;  ///< steady deadlines of the followers' calls, by call
-  std::size_t open_calls_ = 0;                 ///< that this controller makes itself
+  std::map<std::uint64_t, double> delegated_;  ///< deadlines (steady s) of delegated calls, by call id
+  std::size_t open_calls_ = 0;                 ///< calls that this controller itself has in flight
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/forwarded_heartbeats.hpp
+++ b/src/coordination/routing/forwarded_heartbeats.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The last heartbeats that the leader has, of the machines that send their heartbeats to this controller.
+/// Caches the last heartbeats that this controller forwarded and that the leader has accepted.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,20 @@
 
 namespace robinford::coordination {
 
-/// Owns the last heartbeat of each machine that a leader answered with 200. A heartbeat that changes nothing
-/// can then be forwarded as a few bytes that name the earlier one.
+/// Holds the last forwarded heartbeat of each machine that a leader answered with 200. A later heartbeat with
+/// the same contents can then be forwarded as a short reference to the earlier one.
 class ForwardedHeartbeats {
  public:
-  /// Keeps the heartbeats of at most `capacity` machines.
+  /// Caches the heartbeats of at most `capacity` machines.
   explicit ForwardedHeartbeats(std::size_t capacity) : capacity_(capacity) {}
 
-  /// The sequence number of a heartbeat that `leader` knows and that this one equals but for its own
-  /// number; nothing if it has to be forwarded in full.
+  /// Returns the sequence number of a heartbeat that `leader` has accepted and that differs from this one
+  /// only in its sequence number; empty if the heartbeat has to be forwarded in full.
   std::optional<std::uint64_t> unchanged_since(const std::string& leader,
                                                const protocol::Heartbeat& heartbeat) const;
-  /// The leader of the term answered the heartbeat with 200.
+  /// Stores a heartbeat that the leader of the term has answered with 200.
   void remember(const std::string& leader, std::uint64_t term, const protocol::Heartbeat& heartbeat);
-  /// The leader refused the machine's heartbeat: it may not know it.
+  /// Removes the machine's heartbeat after the leader refused one, since it may not have stored it.
   void forget(const std::string& machine) { last_.erase(machine); }
 
  private:
@@ -33,7 +33,7 @@
     std::uint64_t term = 0;
     std::uint64_t agent_epoch = 0;
     std::uint64_t seq = 0;
-    std::string state;  ///< all else that it said: protocol::heartbeat_state
+    std::string state;  ///< the other contents, from protocol::heartbeat_state
   };
   std::size_t capacity_;
   std::map<std::string, Last> last_;  ///< by machine
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages between controllers about requests: what others forward to this leader, and what the leader
-/// answers to what was forwarded.
+/// Handlers of messages between controllers about requests: requests forwarded to this controller as leader,
+/// and the leader's answers to requests that this controller forwarded.
 #include <optional>
 #include <string_view>
 #include <utility>
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A job's state, as a user hears it.
+/// A job's state as it is reported to users.
 struct ReportedState {
   protocol::JobId job = 0;
   std::string state;
@@ -79,7 +79,7 @@
     return route(message.request);
   }
   if (message.status == kFullHeartbeatRequired) {
-    // The leader's in-memory state stands on another heartbeat than the one that was named to it.
+    // The last heartbeat that the leader has of this machine is not the one that was referred to.
     pending_.require_full_heartbeat(message.request);
     return route(message.request);
   }
@@ -102,7 +102,7 @@
          message.body);
 }
 
-// Final answers are durable, so they may be kept and given here from now on.
+// Final states are durable, so this controller may cache them and answer later polls itself.
 void RequestRouter::record_final_state(const std::string& job_body) {
   const auto reported = parse_reported_state(job_body);
   if (!reported) return;
@@ -110,7 +110,8 @@
     context_.jobs.remember_final(reported->job, bookkeeping::FinalState::kDone);
   if (reported->state == n::kStateCancelled) {
     scheduler_.on_cancelled_elsewhere(reported->job);
-    // The leader may give this answer, and with it this controller does too.
+    // The leader announced the cancellation before it answered. This controller now reports it to a user
+    // as well, so it has to announce it, too.
     announce_cancellation(reported->job);
   }
 }
--- a/src/coordination/routing/http_requests.cpp
+++ b/src/coordination/routing/http_requests.cpp
@@ -20,7 +20,8 @@
   const auto route = parse_route(request.method, path);
   if (!route) {
     refuse_route(request, route.error());
-    // The state writer's turn after these two is kept as it always was: its timing can be observed.
+    // For an unknown path and for a wrong method on the readiness path the step is still finished. This keeps
+    // the timing of the state writer, which can be observed from outside, as it has always been.
     return route.error() == RouteError::kUnknownPath || path == n::kPathReady ? Handled::kDone
                                                                               : Handled::kRefused;
   }
@@ -111,7 +112,8 @@
   return Handled::kDone;
 }
 
-// Not ready only when this controller can serve nobody and another one says that it could.
+// A controller that is not terminating reports that it is not ready only if it can neither serve requests nor
+// forward them to a ready leader, while another controller reaches the state service and so could serve them.
 bool HttpRequests::can_serve() const {
   const double now = context_.now.steady;
   if (terminating_) return false;
--- a/src/coordination/routing/http_requests.hpp
+++ b/src/coordination/routing/http_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests of workers and users, as they come by HTTP.
+/// Handles the HTTP requests of workers and users.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
 
 namespace robinford::coordination {
 
-/// Checks HTTP requests and hands them to the router; readiness, metrics and refusals are answered at once.
-/// It owns nothing but whether this process still serves.
+/// Checks HTTP requests and passes them to the router. Readiness, metrics and refusals are answered
+/// immediately. Its only state is whether this process is terminating.
 class HttpRequests {
  public:
-  /// Whether the request left the step something to finish.
+  /// Whether the caller has to finish the step, in which the state writer sends its due writes.
   enum class Handled : std::uint8_t {
     kDone,
-    kRefused,  ///< answered at once: the state writer waits for the next event
+    kRefused,  ///< answered immediately; the state writer runs at the next event
   };
 
   HttpRequests(ControllerContext& context, const Election& election, const Scheduler& scheduler,
@@ -34,9 +34,9 @@
         peers_(peers),
         router_(router) {}
 
-  /// Replies to the request in this step, or leaves it to the router.
+  /// Answers the request in this step or passes it to the router.
   Handled handle(const protocol::HttpRequest& request);
-  /// The process ends soon: it is not ready any more.
+  /// Makes the process report that it is not ready, because it is terminating.
   void stop_serving() { terminating_ = true; }
 
  private:
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -55,7 +55,8 @@
   write(admitted, reply);
 }
 
-// A job that was accepted before must not be reported as refused to whoever submits it once more.
+// A submission of a job that was accepted before must not be reported as refused, so the job's records are
+// looked up first.
 void JobAdmission::refuse_unless_admitted(JobId id, const Refusal& refusal, const UserReply& reply) {
   if (refusal.status == 503) return reply(unavailable(refusal.reason));
   answer_by_lookup(id, refused(refusal.status, refusal.reason), {reply});
@@ -84,7 +85,7 @@
 std::optional<JobAdmission::Refusal> JobAdmission::resource_refusal(const JobSpec& spec) const {
   const auto* team = context_.settings.team(spec.team);
   if (team == nullptr) return Refusal{422, "unknown team"};
-  // A gang needs all its tasks at once, an array one at a time.
+  // A gang runs all its tasks at once; an array can run them one at a time.
   const double tasks_at_once = spec.gang ? spec.tasks : 1;
   if (spec.cpus * tasks_at_once > team->cpus_max || spec.gpus * tasks_at_once > team->gpus_max)
     return Refusal{422, "needs more than the limit of its team"};
@@ -109,14 +110,14 @@
   const auto& dependencies = spec.dependencies;
   if (std::find(dependencies.begin(), dependencies.end(), spec.id) != dependencies.end())
     return done(DependencyVerdict::refuse(422, "it needs itself"));
-  // A leader of an older version would run it early.
+  // A leader of an older version ignores dependencies and would start the job too early.
   if (!leading() && !versions_.upgrade_complete())
     return done(DependencyVerdict::refuse(503, "not every controller knows dependencies yet"));
   read_dependencies(spec, done);
 }
 
-// The records of all that the job needs, read side by side. Only proof that one was never accepted refuses
-// the job for good.
+// Reads the records of all dependencies in parallel. The job is refused with 422 only if a dependency is
+// known never to have been accepted.
 void JobAdmission::read_dependencies(const JobSpec& spec, const DependenciesChecked& done) {
   struct OpenCheck {
     DependencyVerdict verdict;
@@ -155,7 +156,7 @@
 
 // ---------------------------------------------------------------- records
 
-// A job that needs a cancelled one is accepted, and cancelled with it.
+// A job that depends on a cancelled job is accepted and recorded as cancelled.
 void JobAdmission::write_cancelled_job(JobId id, const UserReply& reply) {
   std::vector<WriteOp> ops{
       WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
@@ -180,12 +181,12 @@
   if (!spec.dependencies.empty()) draft.state = JobState::kWaiting;
   bool whole = true;
   auto record = JobLedger::record(draft, c::kBodyMax, whole);
-  // What the state service would never take must not be tried again and again.
+  // The state service would reject a larger record at every attempt, so the job is refused here.
   if (boost::json::serialize(record).size() + c::kValueSlackBytes > context_.settings.value_bytes())
     return reply(refused(422, "its description is larger than a record may be"));
   auto& waiting = pending_admissions_[id];
   waiting.push_back(reply);
-  if (waiting.size() > 1) return;  // the same job is being written already
+  if (waiting.size() > 1) return;  // a write of the same job is in progress
   std::vector<WriteOp> ops{WriteOp{JobLedger::live_key(id), 0, std::move(record)},
                            WriteOp{JobLedger::final_key(id), 0, std::nullopt, true}};
   const Admission admission{spec, draft.submitted_ms, leading(), election_.term()};
@@ -213,7 +214,7 @@
   const JobSpec& spec = admission.spec;
   context_.metrics.count("jobs_accepted");
   if (!admission.as_leader || !leading() || election_.term() != admission.term) return job_changed_(spec.id);
-  // The answer may come after that to a cancellation which went another way.
+  // The result of this write may arrive after the job was cancelled through another controller.
   if (context_.jobs.find(spec.id) != nullptr || context_.jobs.final_state(spec.id)) return;
   scheduler_.job_added(context_.jobs.add(spec, mod_revision, admission.submitted_ms, context_.now.steady));
 }
--- a/src/coordination/routing/job_admission.hpp
+++ b/src/coordination/routing/job_admission.hpp
@@ -19,29 +19,30 @@
 
 namespace robinford::coordination {
 
-/// Checks submissions and makes them durable, at the leader or at any other controller. A job is accepted by
-/// one transaction that demands that neither its live nor its final record exists, so that a repeated
-/// submission changes nothing: its user gets the job's state instead. Only what can never run is refused for
-/// good (4xx); what can't be decided now is answered 503.
+/// Checks submissions and makes them durable, on the leader or on any other controller. A job is accepted by
+/// one transaction that requires that neither its live nor its final record exists. A repeated submission
+/// therefore changes nothing and is answered with the job's state. A job is refused with 4xx only if it is
+/// invalid or can never run; if that can't be decided now, the answer is 503.
 class JobAdmission {
  public:
-  /// Called when this process has admitted a job that is not in its own ledger, so that the leader hears of
-  /// it before it reads the change log.
+  /// Called after this process has admitted a job that it did not add to its own ledger, so that the leader
+  /// can be notified before it next reads the change log.
   using JobChanged = std::function<void(protocol::JobId)>;
 
   JobAdmission(ControllerContext& context, const Election& election, Scheduler& scheduler,
                const PeerVersions& versions, ChangeLogEntries& change_log_entries, JobChanged job_changed);
 
-  /// Admits the job, or refuses it. `id` is that of the submission; no state of the job is in memory.
+  /// Admits or refuses the job. `id` is the job id in the submission. The caller has checked that there is no
+  /// state of the job in memory.
   void admit(protocol::JobId id, const protocol::JobParse& submission, const UserReply& reply);
 
  private:
-  /// Why a submission is not accepted; 503: it can't be decided now.
+  /// Why a submission is not accepted. Status 503 means that this can't be decided now.
   struct Refusal {
     int status = 503;
     std::string reason;
   };
-  /// Whether a job's dependencies let it be admitted.
+  /// Result of checking a job's dependencies.
   struct DependencyVerdict {
     static DependencyVerdict refuse(int status, const std::string& reason) {
       return {Refusal{status, reason}, false, {}};
@@ -49,14 +50,14 @@
 
     std::optional<Refusal> refusal;
     bool any_cancelled = false;
-    std::vector<protocol::JobId> unfinished;  ///< those that are not known to be done
+    std::vector<protocol::JobId> unfinished;  ///< dependencies that are not known to be done
   };
-  /// An admission that is being written.
+  /// An admission whose write is in progress.
   struct Admission {
     protocol::JobSpec spec;
     std::int64_t submitted_ms = 0;  ///< wall clock
-    bool as_leader = false;         ///< written from the leader's ledger, without a change-log entry
-    std::uint64_t term = 0;         ///< of that leadership
+    bool as_leader = false;         ///< written by a leader, without a change-log entry
+    std::uint64_t term = 0;         ///< of the leader that writes it
   };
   using ResourcesChecked = std::function<void(const std::optional<Refusal>&)>;
   using DependenciesChecked = std::function<void(const DependencyVerdict&)>;
@@ -84,7 +85,8 @@
   JobLookup& lookup_;
   ChangeLogEntries& change_log_entries_;
   JobChanged job_changed_;
-  std::map<protocol::JobId, std::vector<UserReply>> pending_admissions_;  ///< who waits for each admission
+  std::map<protocol::JobId, std::vector<UserReply>>
+      pending_admissions_;  ///< replies that wait for each write
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -19,10 +19,10 @@
 using protocol::JobId;
 using RecordStatus = JobLookup::Result::RecordStatus;
 
-/// One lookup that follows a waiting job's dependencies, with a worklist instead of recursion.
+/// One lookup that follows the dependencies of a waiting job, with a worklist instead of recursion.
 struct JobLookup::Walk {
   JobId id = 0;
-  Result live;  ///< the answer if nothing that the job needs is cancelled
+  Result live;  ///< the result if no dependency is cancelled
   Done done;
   std::vector<JobId> to_check;
   std::set<JobId> seen;
@@ -35,7 +35,8 @@
   if (const auto state = context_.jobs.final_state(id)) return done({RecordStatus::kFinal, *state, {}});
   context_.state.read(JobLedger::live_key(id), [this, id, done = std::move(done)](const StateRead& live) {
     if (live.found == StateRead::Found::kUnknown) return done({});
-    // A job moves from live to final and never back, so this order misses none.
+    // A job goes from live to final and never back, so reading the final record after the live one can't miss
+    // an accepted job.
     if (live.found == StateRead::Found::kNo) return read_final_record(id, done);
     if (!JobLedger::is_cancelled(live.value)) return done({RecordStatus::kLive, FinalState::kDone, live});
     cancelled_(id);
@@ -76,7 +77,7 @@
       if (*state == FinalState::kDone) continue;
       return finish_as_cancelled(walk);
     }
-    // A user's poll must not cost the state service any number of reads.
+    // Limits the number of reads that one poll can cause at the state service.
     if (walk->seen.size() > c::kDependencyWalkMost) return walk->done({});
     return read_own_records(next, [this, walk](const Result& known) { on_dependency_read(walk, known); });
   }
--- a/src/coordination/routing/job_lookup.hpp
+++ b/src/coordination/routing/job_lookup.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the durable records say of a job: docs/design.md, "Dependencies".
+/// Looks up the state of a job in its durable records: docs/design.md, "Dependencies".
 #pragma once
 
 #include <functional>
@@ -9,32 +9,32 @@
 
 namespace robinford::coordination {
 
-/// Reads the durable records of jobs afresh. Any controller can ask, leader or not. Nothing is kept but final
-/// states, which never change. `Done` is called once, at once if the answer is in memory, else in the step
-/// that brings the state service's answer.
+/// Reads the durable records of jobs, on the leader or on any other controller. Only final states are cached,
+/// since they never change. `Done` is called once: before the call returns if the answer is in memory,
+/// otherwise in the step in which the state service's answer arrives.
 class JobLookup {
  public:
-  /// What was found out about a job.
+  /// Result of looking up a job.
   struct Result {
     enum class RecordStatus {
-      kLive,           ///< it was accepted and has no final state yet
-      kFinal,          ///< it has a final state
-      kNeverAccepted,  ///< it was never accepted: neither of its records exists
+      kLive,           ///< accepted, without a final state so far
+      kFinal,          ///< the job has a final state
+      kNeverAccepted,  ///< never accepted: neither of the job's records exists
       kUnknown,        ///< a read went unanswered, or a record can't be read
     } record_status = RecordStatus::kUnknown;
-    bookkeeping::FinalState state = bookkeeping::FinalState::kDone;  ///< of kFinal
-    bookkeeping::StateRead live;                                     ///< of kLive: the record that was read
+    bookkeeping::FinalState state = bookkeeping::FinalState::kDone;  ///< only for kFinal
+    bookkeeping::StateRead live;  ///< only for kLive: the record that was read
   };
   using Done = std::function<void(const Result&)>;
 
-  /// `cancelled` is called for each job that a lookup finds to be cancelled, before the lookup's `Done`.
+  /// `cancelled` is called for each job that a lookup finds to be cancelled, before `Done` of that lookup.
   JobLookup(ControllerContext& context, std::function<void(protocol::JobId)> cancelled);
 
-  /// What the job's own records say.
+  /// Reads the job's own records, without regard to its dependencies.
   void read_own_records(protocol::JobId id, Done done);
-  /// The job's state: it is also cancelled while any job is that it needs, directly or through others. This
-  /// is derived from the records, so no write has to follow a cancellation before it is the answer
-  /// everywhere. kUnknown also if the job needs more than `kDependencyWalkMost` others.
+  /// Determines the job's state. A job is also cancelled if any of its direct or transitive dependencies is.
+  /// Because this is derived from the records, every controller gives the same answer after a cancellation
+  /// without a further write. The result is kUnknown if the walk exceeds `kDependencyWalkMost` jobs.
   void read_state_with_dependencies(protocol::JobId id, Done done);
 
  private:
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -29,7 +29,7 @@
   const auto submission = protocol::parse_job(body);
   if (!submission.id) return reply(refused(400, submission.error));
   const JobId id = *submission.id;
-  // A known job is answered before its description is checked again.
+  // For a known job the answer is its state; its description is not checked again.
   if (const auto state = context_.jobs.final_state(id)) return reply(final_state_answer(id, *state));
   if (leading() && context_.jobs.find(id) != nullptr) return answer_as_leader(id, reply);
   admission_.admit(id, submission, reply);
@@ -43,10 +43,10 @@
   answer_from_records(id, reply);
 }
 
-// The leader's own state of the job is the answer, once no other controller can have announced anything newer
-// to a user: at once while all of them are in touch, else after a read of the change log, which all waiting
-// polls share. One read of the record for each poll exhausted the state service's limit as soon as
-// one controller was away.
+// Answers from the leader's ledger once no other controller can have announced a newer state to a user:
+// immediately while all controllers are in contact, otherwise after a read of the change log that all waiting
+// polls share. Reading the job's record for each poll exhausted the state service's limit as soon as one
+// controller was absent.
 void JobRequests::answer_as_leader(JobId id, const UserReply& reply) {
   if (context_.cancellations.is_in_memory_state_current(context_.now.steady))
     return answer_from_ledger(id, reply);
@@ -66,8 +66,8 @@
 
 void JobRequests::answer_from_records(JobId id, const UserReply& reply) {
   lookup_.read_state_with_dependencies(id, [this, id, reply](const JobLookup::Result& known) {
-    // Its record, read since the poll came, says that it is not cancelled; the leader knows more of its
-    // tasks.
+    // The record was read after the poll arrived and shows that the job is not cancelled; the leader's ledger
+    // has the more recent state of its tasks.
     if (known.record_status == JobLookup::Result::RecordStatus::kLive && leading())
       if (const Job* job = context_.jobs.find(id)) return reply(ledger_answer(*job));
     reply(lookup_answer(id, known, context_.now.steady, refused(404, "no such job")));
@@ -80,7 +80,8 @@
   if (const auto state = context_.jobs.final_state(id)) return reply(final_state_answer(id, *state));
   Job* job = leading() ? context_.jobs.find(id) : nullptr;
   if (job == nullptr) return cancel_on_records(id, c::kAbortTries, reply);
-  // Registered first: with a final state on its way the answer is whichever becomes durable.
+  // The reply is registered before the cancellation starts: if another final state is already being written,
+  // the answer is the state that becomes durable.
   cancellation_replies_[id].push_back(reply);
   scheduler_.cancel(*job);
 }
@@ -99,7 +100,7 @@
     for (const auto& reply : replies) reply(unavailable("leadership changes"));
 }
 
-// Each try reads the records again: another controller may write them at the same time.
+// Each attempt reads the records again, because another controller may write them concurrently.
 void JobRequests::cancel_on_records(JobId id, int tries_left, const UserReply& reply) {
   if (tries_left == 0) return reply(unavailable("the job is changing"));
   lookup_.read_state_with_dependencies(id, [this, id, tries_left, reply](const JobLookup::Result& known) {
--- a/src/coordination/routing/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Users' requests about jobs: submissions, polls and cancellations.
+/// Handles users' requests about jobs: submissions, polls and cancellations.
 #pragma once
 
 #include <map>
@@ -17,26 +17,25 @@
 
 namespace robinford::coordination {
 
-/// Carries out users' requests, at the leader from its ledger, and at any other controller on the records in
-/// the state service. Each reply is called once, at the latest when the state service answers or is given up;
-/// an answer is durable, and never older than one that another controller may have given:
-/// docs/design.md, "Cancellations".
+/// Executes users' requests: on the leader from its ledger, on any other controller from the records in the
+/// state service. Each reply is called once, at the latest when the calls to the state service have succeeded
+/// or failed. An answer reports durable state, and is never older than one that another controller may have
+/// given: docs/design.md, "Cancellations".
 class JobRequests {
  public:
   JobRequests(ControllerContext& context, const Election& election, Scheduler& scheduler,
               const PeerVersions& versions, JobAdmission::JobChanged job_changed);
 
-  /// Accepts a job; `body` is its description as JSON. A job that is known already is answered with its
-  /// state.
+  /// Submits a job; `body` is its description as JSON. If the job is already known, the answer is its state.
   void submit(const std::string& body, const UserReply& reply);
   /// Answers with the job's state.
   void poll(protocol::JobId id, const UserReply& reply);
-  /// Cancels the job; if it has a final state, that is the answer.
+  /// Cancels the job. If it already has a final state, the answer is that state.
   void cancel(protocol::JobId id, const UserReply& reply);
 
-  /// The job's final state is durable: answers the cancellations that wait for it.
+  /// Answers the cancellations that wait for the job's final state, once it is durable.
   void on_job_final_state(protocol::JobId id, bookkeeping::FinalState state);
-  /// This controller is not the leader any more: cancellations that its ledger was to settle get 503.
+  /// Answers the waiting cancellations with 503, because this controller is not the leader any more.
   void fail_waiting_cancellations();
 
  private:
@@ -54,7 +53,7 @@
   ChangeLogEntries change_log_entries_;
   JobAdmission admission_;
   std::map<protocol::JobId, std::vector<UserReply>>
-      cancellation_replies_;  ///< who waits for each job's final state
+      cancellation_replies_;  ///< replies that wait for each job's final state
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/peer_frames.hpp
+++ b/src/coordination/routing/peer_frames.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Frames to the other controllers, filled message by message.
+/// Batches messages to the other controllers into frames.
 #pragma once
 
 #include <map>
@@ -11,17 +11,17 @@
 
 namespace robinford::coordination {
 
-/// Owns one unsent frame for each other controller. Messages travel together, one frame a tick, because each
-/// packet costs more than the bytes in it; a frame of `kBatchBytes` or more leaves at once.
+/// Owns one unsent frame for each other controller. Messages are sent together in one frame per tick, because
+/// the cost of a packet exceeds that of its bytes. A frame that reaches `kBatchBytes` is sent immediately.
 class PeerFrames {
  public:
   PeerFrames(ControllerContext& context, const Election& election) : context_(context), election_(election) {}
 
-  /// Signs the message with this process and its term, and appends it to the member's frame.
+  /// Adds this member, its incarnation and its term to the message, and appends it to the frame for `member`.
   void send(const std::string& member, protocol::PeerMessage message);
   /// Moves the member's frame into the outbox; an empty frame is not sent.
   void flush(const std::string& member);
-  /// Drops what the member's link can't carry any more.
+  /// Discards the member's unsent frame, since the link to it is down.
   void discard(const std::string& member) { unsent_[member].clear(); }
 
  private:
--- a/src/coordination/routing/peer_messages.cpp
+++ b/src/coordination/routing/peer_messages.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The controller's messages from and to the other controllers.
+/// Handlers of messages from other controllers, and the messages that the controller sends to them.
 #include <utility>
 
 #include "constants.hpp"
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -11,7 +11,7 @@
 namespace c = constants;
 
 namespace {
-/// Takes the followers in turn; empty if there is none.
+/// Returns the next follower in round-robin order; empty if there is none.
 std::string next_round_robin(const std::vector<const std::string*>& followers, std::size_t& position) {
   if (followers.empty()) return {};
   return *followers[position++ % followers.size()];
@@ -30,7 +30,7 @@
 
 PeerTable::StatusOutcome PeerTable::apply_status(const protocol::PeerMessage& status, double now) {
   Peer& peer = peers_.at(status.member);
-  // A late status of an earlier process must not undo what its successor said.
+  // A delayed status of an earlier process must not overwrite that of its successor.
   if (status.incarnation < peer.incarnation && status.term < peer.term) return StatusOutcome::kOutdated;
   peer.incarnation = status.incarnation;
   peer.term = status.term;
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What this controller knows of the other controllers: links, last status, and who of them leads or helps.
+/// Tracks the other controllers: their links and last status, which of them leads, and which followers can
+/// take work from the leader.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +13,63 @@
 namespace robinford::coordination {
 
 /// Owns the last known state of each other controller. All times are seconds of the steady clock. A peer is
-/// fresh while its last status is no older than `kPeerFreshS`; an older status proves nothing.
+/// fresh while its last status is no older than `kPeerFreshS`; an older status is not relied on.
 class PeerTable {
  public:
-  /// One other controller, by its last status.
+  /// State of one other controller according to its last status.
   struct Peer {
-    bool linked = false;  ///< our link to it is up
+    bool linked = false;  ///< this controller's link to it is up
     std::uint64_t incarnation = 0;
     std::uint64_t term = 0;
     bool leading = false;
-    bool ready = false;     ///< it leads, and has its ledger loaded
-    bool state_ok = false;  ///< the state service answered it lately
+    bool ready = false;     ///< it leads and has loaded its ledger
+    bool state_ok = false;  ///< it recently got an answer from the state service
     double last_contact = kNever;
   };
-  /// What became of a status.
+  /// Result of processing a status.
   enum class StatusOutcome : std::uint8_t {
     kApplied,
-    kOutdated,  ///< it is of an earlier process than the one known
+    kOutdated,  ///< sent by an earlier process than the one known
   };
 
   explicit PeerTable(const protocol::Settings& settings);
 
   const std::map<std::string, Peer>& all() const { return peers_; }
   bool contains(const std::string& member) const { return peers_.contains(member); }
-  /// The member is one of the peers that `leader()` named.
+  /// Returns whether the last status of `member`, which must be a known peer, said that it is ready.
   bool is_ready(const std::string& member) const { return peers_.at(member).ready; }
 
   void link_up(const std::string& member) { peers_[member].linked = true; }
-  /// Also forgets the last contact: the member has to prove again that it is there.
+  /// Also clears the time of last contact, so that the peer is not fresh before its next status.
   void link_down(const std::string& member);
-  /// Applies a status of a known member.
+  /// Stores the status of a known member.
   StatusOutcome apply_status(const protocol::PeerMessage& status, double now);
-  /// The member answered that it does not lead; its next status may say otherwise.
+  /// Records that the member refused a request because it does not lead; its next status may change this.
   void mark_not_leading(const std::string& member) { peers_.at(member).leading = false; }
 
-  /// The fresh, linked peer that leads with the highest term; empty if there is none.
+  /// Returns the fresh, linked peer that leads with the highest term; empty if there is none.
   std::string leader(double now) const;
-  /// Whether any peer is fresh, linked or not.
+  /// Returns whether any peer is fresh, no matter whether this controller's link to it is up.
   bool any_in_contact(double now) const;
-  /// Whether a linked leader serves users at present.
+  /// Returns whether a fresh, linked peer leads and is ready to serve users.
   bool has_ready_leader(double now) const;
-  /// Whether any fresh peer reaches the state service, and so could serve users.
+  /// Returns whether any fresh peer reaches the state service and so could serve users.
   bool any_reaches_state(double now) const;
-  /// The next follower, in turn, that workers may send their heartbeats to; empty if there is none.
+  /// Returns the next follower, in round-robin order, that workers may send heartbeats to; empty if there is
+  /// none.
   std::string next_heartbeat_follower(double now);
-  /// The next follower, in turn, that may make a direct call for this leader; empty if there is none.
+  /// Returns the next follower, in round-robin order, for a direct call of this leader; empty if there is
+  /// none.
   std::string next_direct_call_follower(double now);
 
  private:
   static constexpr double kNever = -1e9;
-  /// Seconds since the last contact with the peer.
+  /// Returns the seconds since the last status of the peer.
   static double seconds_since_contact(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
   std::map<std::string, Peer> peers_;
-  std::size_t next_follower_ = 0;  ///< position in the turn, shared by both uses of followers
+  std::size_t next_follower_ = 0;  ///< round-robin position, shared by heartbeats and direct calls
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/pending_requests.hpp
+++ b/src/coordination/routing/pending_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that wait for their answer, and the state that each of them is in.
+/// Requests that wait for an answer, with their states.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace robinford::coordination {
 
-/// Names a pending request towards the parts that answer it, and in the messages to the leader.
+/// Identifies a pending request to the components that answer it and in messages to the leader.
 using RequestKey = std::uint64_t;
 
-/// A request that waits for its answer. Its state changes only through PendingRequests.
+/// A request that waits for an answer. Only PendingRequests changes its state.
 struct PendingRequest {
   enum class Kind : std::uint8_t {
     kHeartbeat,
@@ -24,29 +24,29 @@
     kChange,  ///< a submission or cancellation
   };
   enum class State : std::uint8_t {
-    kLocal,      ///< this controller works on the answer
-    kForwarded,  ///< the leader does
+    kLocal,      ///< served by this controller
+    kForwarded,  ///< sent to the leader for an answer
     kParked,     ///< a heartbeat that waits for a leader to appear
   };
-  /// The controller that forwarded the request to this one, and its number there.
+  /// The controller that forwarded the request to this one, and the request's key there.
   struct PeerOrigin {
     std::string member;
     std::uint64_t request = 0;
   };
 
   Kind kind = Kind::kChange;
-  std::string method;  ///< of users' requests only, like the next two
+  std::string method;  ///< like `target` and `body`, only for users' requests
   std::string target;  ///< path, without a query
   std::string body;
-  protocol::Heartbeat heartbeat;         ///< of heartbeats that came here by HTTP, read and checked
-  bool full_heartbeat_required = false;  ///< the leader needs the heartbeat in full
-  std::uint64_t token = 0;               ///< the HTTP connection, unless it came from a peer
+  protocol::Heartbeat heartbeat;         ///< parsed heartbeat, only if it arrived by HTTP
+  bool full_heartbeat_required = false;  ///< the leader has asked for the full heartbeat
+  std::uint64_t token = 0;               ///< of the HTTP request, unless a peer forwarded it
   std::optional<PeerOrigin> peer;
-  double deadline = 0;  ///< steady s: answered with 503 from then on
+  double deadline = 0;  ///< steady s; when it passes, the request is answered with 503
 
   State state = State::kLocal;
-  std::string forwarded_to;     ///< the member, while kForwarded
-  double forward_deadline = 0;  ///< steady s, while kForwarded: from then on a user's request is settled here
+  std::string forwarded_to;     ///< member, while kForwarded
+  double forward_deadline = 0;  ///< steady s, while kForwarded; after it a user's request is served here
 
   bool is_heartbeat() const { return kind == Kind::kHeartbeat; }
 };
@@ -54,52 +54,52 @@
 /// Owns the pending requests and counts them by kind and state.
 ///
 /// Invariant: `parked()` and `forwarded()` are the numbers of requests in those states, and
-/// `in_progress(kind)` that of users' requests of the kind. Keys grow and are never used twice. The bounds
-/// themselves are the caller's, who also knows the answer to a request that exceeds them.
+/// `in_progress(kind)` is the number of users' requests of that kind. Keys increase and are never reused. The
+/// caller enforces limits on these numbers, because it has to answer a request that exceeds them.
 class PendingRequests {
  public:
-  /// Why a request can't wait any longer.
+  /// Whether and why a request can't wait any longer.
   enum class Overdue : std::uint8_t {
     kNo,
-    kAnswer,   ///< its deadline passed
-    kForward,  ///< it is a user's, and the leader did not answer in time
+    kAnswer,   ///< its deadline has passed
+    kForward,  ///< the leader did not answer a user's request in time
   };
 
-  /// Keys are numbered from `first`. Starts drawn at random keep an answer to an earlier process from being
-  /// taken for one to a request of this process.
+  /// Numbers the keys from `first`. A random `first` makes it unlikely that an answer to an earlier process
+  /// is mistaken for the answer to a request of this process.
   explicit PendingRequests(RequestKey first) : next_(first) {}
 
   RequestKey add(PendingRequest request);
-  /// The request, which must not be answered yet.
+  /// Returns the request, which must not have been answered.
   const PendingRequest& at(RequestKey key) const { return requests_.at(key); }
-  /// The request, if it waits for that member's answer; otherwise null, and the answer came too late.
+  /// Returns the request if it waits for that member's answer; null if it does not any longer.
   const PendingRequest* find_forwarded(RequestKey key, const std::string& member) const;
 
-  /// This controller answers the request itself.
+  /// Marks the request as served by this controller.
   void mark_local(RequestKey key);
-  /// The heartbeat waits for a leader.
+  /// Marks the heartbeat as waiting for a leader.
   void park(RequestKey key);
-  /// The request waits for `member`, until `forward_deadline` in steady seconds.
+  /// Marks the request as forwarded to `member`, until `forward_deadline` in steady seconds.
   void forward(RequestKey key, const std::string& member, double forward_deadline);
-  /// The leader does not know the heartbeat that a forwarded one refers to.
+  /// Makes the router send the heartbeat in full, because the leader lacks the one that it referred to.
   void require_full_heartbeat(RequestKey key) { requests_.at(key).full_heartbeat_required = true; }
   /// Moves the heartbeat out of a request that this controller answers.
   protocol::Heartbeat take_heartbeat(RequestKey key) { return std::move(requests_.at(key).heartbeat); }
-  /// Takes the request out, to be answered; nothing if it was answered before.
+  /// Removes and returns the request to be answered; empty if it has been answered already.
   std::optional<PendingRequest> remove(RequestKey key);
 
   std::size_t size() const { return requests_.size(); }
   std::size_t parked() const { return parked_; }
   std::size_t forwarded() const { return forwarded_; }
-  /// Users' requests of the kind that are in progress, also those that others forwarded.
+  /// Returns the number of users' requests of the kind in progress, including those that peers forwarded.
   std::size_t in_progress(PendingRequest::Kind kind) const {
     return kind == PendingRequest::Kind::kPoll ? polls_ : changes_;
   }
   std::vector<RequestKey> parked_keys() const;
   std::vector<RequestKey> keys_forwarded_to(const std::string& member) const;
-  /// Requests that are overdue at `now`, in steady seconds, in the order in which they came.
+  /// Returns the requests that are overdue at `now`, in steady seconds, in order of arrival.
   std::vector<RequestKey> overdue_keys(double now) const;
-  /// The same of one request; kNo if it was answered.
+  /// Returns whether one request is overdue; kNo if it has been answered.
   Overdue overdue(RequestKey key, double now) const;
 
  private:
--- a/src/coordination/routing/request_route.cpp
+++ b/src/coordination/routing/request_route.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A path before its method and job are checked.
+/// A parsed path whose method and job id are not checked yet.
 struct PathParts {
   RequestTarget target = RequestTarget::kReadiness;
   std::string job_text;
--- a/src/coordination/routing/request_route.hpp
+++ b/src/coordination/routing/request_route.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an HTTP request asks for, read from its method and path.
+/// Parses the method and path of an HTTP request.
 #pragma once
 
 #include <boost/system/result.hpp>
@@ -10,7 +10,7 @@
 
 namespace robinford::coordination {
 
-/// What the HTTP interface offers.
+/// Operations of the HTTP interface.
 enum class RequestTarget : std::uint8_t {
   kReadiness,
   kMetrics,
@@ -20,21 +20,22 @@
   kCancellation
 };
 
-/// Why a request asks for nothing that the HTTP interface offers.
+/// Why a request does not match any operation of the HTTP interface.
 enum class RouteError : std::uint8_t {
-  kUnknownPath,       ///< the path belongs to none of the targets
-  kUnknownJobPath,    ///< it is below the jobs' path, and names neither a job nor a job's cancellation
-  kMethodNotAllowed,  ///< the target has another method
-  kNoSuchJob,         ///< what stands for the job is no job id
+  kUnknownPath,       ///< no target has this path
+  kUnknownJobPath,    ///< below the path of jobs, but neither a job nor a cancellation
+  kMethodNotAllowed,  ///< the target requires another method
+  kNoSuchJob,         ///< the path segment of the job is not a valid job id
 };
 
-/// A request's target, with the job that it names.
+/// Target of a request, with the job id from its path.
 struct RequestRoute {
   RequestTarget target = RequestTarget::kReadiness;
-  protocol::JobId job = 0;  ///< of kPoll and kCancellation
+  protocol::JobId job = 0;  ///< only for kPoll and kCancellation
 };
 
-/// Reads the route of a request; `path` has no query. Errors are found in the order path, method, job.
+/// Parses the route of a request; `path` is without the query. The path is checked first, then the method,
+/// then the job id.
 boost::system::result<RequestRoute, RouteError> parse_route(const std::string& method,
                                                             const std::string& path);
 
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Routing of requests, and their answers. The messages of other controllers about requests are in
+/// Routes requests and sends their answers. The handlers of other controllers' messages about requests are in
 /// forwarded_requests.cpp.
 #include "coordination/routing/request_router.hpp"
 
@@ -16,7 +16,8 @@
 using protocol::PeerMessage;
 
 namespace {
-/// Cheaper than reading the whole description: no other field has a name like this.
+/// Searches for the quoted field name, which is cheaper than parsing the description. No other field has this
+/// name.
 bool mentions_dependencies(const std::string& body) {
   return body.find(std::string("\"") + n::kDependencies + "\"") != std::string::npos;
 }
@@ -39,7 +40,8 @@
 RequestRouter::Admission RequestRouter::accept_user_request(const protocol::HttpRequest& request,
                                                             const std::string& path,
                                                             PendingRequest::Kind kind) {
-  // Polls take no place from submissions: a flood of them once had these turned away.
+  // Polls and changes have separate limits: with a common limit a flood of polls once caused submissions to
+  // be refused.
   if (pending_.in_progress(kind) >= context_.max_entries(c::kUserRequestsPerMb)) return Admission::kTooMany;
   PendingRequest pending;
   pending.kind = kind;
@@ -78,8 +80,8 @@
   return election_.role() == Role::kLeading ? context_.settings.member : peers_.leader(context_.now.steady);
 }
 
-// Without the state service and without any other controller nobody will lead from here: workers should go
-// elsewhere.
+// A controller that reaches neither the state service nor any peer can't become the leader or learn of one,
+// so workers should use another controller.
 bool RequestRouter::leader_may_appear() const {
   const double now = context_.now.steady;
   return context_.state.reachable(now) || peers_.any_in_contact(now);
@@ -94,12 +96,13 @@
     return leader.empty() ? park(key) : forward_heartbeat(key, leader);
   }
   if (leader.empty() || !peers_.is_ready(leader)) return serve(key);
-  // A leader of an older version would overlook what the job needs, and run it early.
+  // A leader of an older version ignores dependencies and would start the job too early.
   if (mentions_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
   forward_user_request(key, leader);
 }
 
-// A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
+// Keeps the heartbeat until there is a leader. The sooner a new leader has a heartbeat of every machine, the
+// sooner it can place work.
 void RequestRouter::park(RequestKey key) {
   if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
   if (pending_.parked() >= context_.max_machine_entries(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
@@ -150,7 +153,8 @@
     if (route->target == RequestTarget::kCancellation) return job_requests_.cancel(route->job, reply);
     if (route->target == RequestTarget::kPoll) return job_requests_.poll(route->job, reply);
   }
-  // Only another controller's message gets here: requests by HTTP were checked when they came.
+  // Only a request that another controller forwarded can have an invalid route: requests by HTTP were checked
+  // on arrival.
   answer(key, 404, 0, protocol::error_json("no such job"));
 }
 
@@ -161,9 +165,9 @@
   for (const auto key : pending_.overdue_keys(now)) {
     switch (pending_.overdue(key, now)) {
       case PendingRequests::Overdue::kNo:
-        break;  // answered together with an earlier one
+        break;  // answered while an earlier request of this loop was handled
       case PendingRequests::Overdue::kForward:
-        serve(key);  // the leader does not answer
+        serve(key);  // the leader did not answer in time
         break;
       case PendingRequests::Overdue::kAnswer:
         if (pending_.at(key).is_heartbeat())
@@ -186,7 +190,8 @@
 
 // ---------------------------------------------------------------- answers
 
-// The one place where a user hears that a job is cancelled, or another controller does for its user.
+// All answers that report a cancellation pass through this function, both those to users and those to
+// controllers that forwarded a user's request. The cancellation is announced to the other controllers first.
 void RequestRouter::answer_user(RequestKey key, const UserAnswer& reply) {
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
@@ -198,9 +203,9 @@
   answer(key, reply.status, reply.retry_after_s, reply.body);
 }
 
-// All hear of it before the user does: whoever leads, or is about to, must not answer anything older, and
-// whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it
-// acknowledges it.
+// Announces the cancellation to all other controllers before the user is answered. Otherwise the leader, or a
+// controller about to lead, could still report an older state, and a controller that answers heartbeats could
+// let the job's tasks run on. The announcement is sent again with each status until the peer acknowledges it.
 void RequestRouter::announce_cancellation(protocol::JobId id) {
   if (!context_.cancellations.record_announcement(id)) return;
   for (const auto& [member, peer] : peers_.all()) {
@@ -215,7 +220,7 @@
 
 void RequestRouter::answer(RequestKey key, int status, int retry_after_s, std::string body) {
   const auto request = pending_.remove(key);
-  if (!request) return;  // its deadline passed before
+  if (!request) return;  // answered earlier, when its deadline passed
   if (!request->peer) {
     context_.out.replies.push_back({request->token, status, retry_after_s, std::move(body), false});
     return;
@@ -232,7 +237,7 @@
 void RequestRouter::answer_heartbeat(RequestKey key, int status, std::vector<protocol::Command> commands,
                                      std::uint64_t term) {
   const auto request = pending_.remove(key);
-  if (!request) return;  // its deadline passed before
+  if (!request) return;  // answered earlier, when its deadline passed
   if (!request->peer) {
     std::string body = status == 200 ? protocol::commands_json(term, commands) : "{}";
     context_.out.replies.push_back({request->token, status, 0, std::move(body), false});
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where a request is answered: here, by the leader, or after a leader has appeared.
+/// Decides where a request is answered: by this controller, by the leader, or once there is a leader.
 #pragma once
 
 #include <string>
@@ -19,23 +19,23 @@
 
 namespace robinford::coordination {
 
-/// Statuses by which a controller declines a request, besides those that its sender gets in the end.
+/// Statuses by which a controller declines a request.
 /// @{
-constexpr int kNotLeading = 421;  ///< it does not lead, and no leader can be reached: to be sent elsewhere
-constexpr int kFullHeartbeatRequired =
-    409;  ///< to another controller: the heartbeat that this one refers to is not known
+constexpr int kNotLeading = 421;  ///< this controller can't act as the leader; the sender must use another
+constexpr int kFullHeartbeatRequired = 409;  ///< to a peer: the leader lacks the heartbeat referred to
 /// @}
 
-/// Owns the pending requests, and gives each exactly one answer before its deadline. A leader answers all
-/// that reach it. Any other controller forwards to the leader; users' requests that no leader takes are
-/// settled here on the state service, and heartbeats wait for a leader. Only a leader serves what others
-/// forward: a chain of forwards would hide who answers.
+/// Owns the pending requests and answers each of them exactly once, at the latest when its deadline passes. A
+/// leader answers every request that reaches it. Any other controller forwards requests to the leader.
+/// Without a leader that can serve them, users' requests are served here from the records in the state
+/// service, and heartbeats wait for a leader. A forwarded request is served only by a leader and never
+/// forwarded again, because with a chain of forwards it would be unclear which controller answers.
 class RequestRouter {
  public:
-  /// Whether a request of a user may wait for an answer here.
+  /// Whether a user's request was added to the pending requests.
   enum class Admission : std::uint8_t { kAdmitted, kTooMany };
 
-  /// The parts that a request passes through; all outlive the router.
+  /// The components that the router uses; all of them outlive the router.
   struct Parts {
     ControllerContext& context;
     Election& election;
@@ -46,39 +46,44 @@
     PeerTable& peers;
     PeerFrames& frames;
   };
-  /// Draws the first request key from the context's random numbers.
+  /// Starts the request keys at a random number.
   explicit RequestRouter(const Parts& parts);
 
   // ---- requests by HTTP ----
-  /// A submission, poll or cancellation; `path` is its target without a query. kTooMany: it waits for no
-  /// answer, and the caller gives one.
+  /// Routes a submission, poll or cancellation; `path` is its target without the query. On kTooMany the
+  /// request was not added, and the caller must answer it.
   Admission accept_user_request(const protocol::HttpRequest& request, const std::string& path,
                                 PendingRequest::Kind kind);
   void accept_heartbeat(std::uint64_t token, protocol::Heartbeat heartbeat);
-  /// The follower that a worker shall turn to, because this leader takes too many heartbeats itself; empty if
-  /// this controller takes it. To be called once for each heartbeat.
+  /// Counts a heartbeat and returns the follower that the worker should use instead, if this leader has
+  /// received more heartbeats in the current second than it accepts directly. Returns an empty string if this
+  /// controller accepts the heartbeat. Must be called once per heartbeat.
   std::string redirect_for_heartbeat();
 
   // ---- messages of other controllers ----
-  /// kForward: a user's request. kHeartbeat, kUnchangedHeartbeat: a worker's heartbeat.
+  /// Handles a user's request (kForward).
   void on_forwarded_request(const protocol::PeerMessage& message);
+  /// Handles a worker's heartbeat (kHeartbeat or kUnchangedHeartbeat).
   void on_forwarded_heartbeat(const protocol::PeerMessage& message);
-  /// kAnswer, kCommands: what the leader answers to what was forwarded.
+  /// Handles the leader's answer to a forwarded user's request (kAnswer).
   void on_forward_answer(const protocol::PeerMessage& message);
+  /// Handles the leader's answer to a forwarded heartbeat (kCommands).
   void on_commands(const protocol::PeerMessage& message);
 
   // ---- events ----
-  /// Answers or settles what waited too long.
+  /// Serves users' requests that the leader did not answer in time, and answers requests whose deadline has
+  /// passed with 503.
   void resolve_overdue();
-  /// Routes the parked heartbeats if there is a leader by now.
+  /// Routes the parked heartbeats again if a leader is known.
   void retry_parked_heartbeats();
-  /// Routes again what was forwarded to the member: it is not answered over this link any more.
+  /// Routes the requests that were forwarded to the member again, since their answers can't arrive over this
+  /// link any more.
   void on_link_down(const std::string& member);
-  /// The scheduler's answer to a heartbeat; `term` is the fencing token that the commands carry.
+  /// Sends the scheduler's answer to a heartbeat; `term` is the fencing token of the commands.
   void answer_heartbeat(RequestKey key, int status, std::vector<protocol::Command> commands,
                         std::uint64_t term);
 
-  /// The member that leads, as far as is known here; empty for none.
+  /// Returns the member that leads as far as this controller knows; empty if no leader is known.
   std::string leader() const;
   std::size_t pending_count() const { return pending_.size(); }
 
@@ -106,7 +111,7 @@
   PendingRequests pending_;
   ForwardedHeartbeats forwarded_heartbeats_;
   double heartbeat_window_began_ = 0;     ///< steady s
-  std::size_t heartbeats_in_window_ = 0;  ///< that came by HTTP in the present second
+  std::size_t heartbeats_in_window_ = 0;  ///< received by HTTP in the current window of one second
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/user_answer.cpp
+++ b/src/coordination/routing/user_answer.cpp
@@ -29,8 +29,8 @@
 }
 
 UserAnswer ledger_answer(const Job& job) {
-  // Its end may be durable already, and another controller may have read and announced it: nothing older may
-  // come from here.
+  // The job's final state may already be durable, and another controller may have read and reported it. An
+  // older state must not be reported after that.
   if (job.state == JobState::kCompleting || job.state == JobState::kCancelling)
     return unavailable("its end is being written");
   if (job.state == JobState::kOver) return final_state_answer(job.spec.id, job.final_state);
--- a/src/coordination/routing/user_answer.hpp
+++ b/src/coordination/routing/user_answer.hpp
@@ -12,28 +12,29 @@
 
 namespace robinford::coordination {
 
-/// An answer to a user.
+/// Answer to a user's request.
 struct UserAnswer {
-  int status = 503;       ///< of HTTP
-  int retry_after_s = 0;  ///< 0: no such header
+  int status = 503;       ///< HTTP status
+  int retry_after_s = 0;  ///< 0 to omit the Retry-After header
   std::string body;
-  /// The job that the answer says to be cancelled. It is announced to the other controllers first:
-  /// docs/design.md, "Cancellations".
+  /// The job that the answer reports as cancelled. The cancellation is announced to the other controllers
+  /// before the answer is sent: docs/design.md, "Cancellations".
   std::optional<protocol::JobId> cancelled;
 };
 
-/// Takes the answer to one request; called once.
+/// Receives the answer to one request; called once.
 using UserReply = std::function<void(const UserAnswer&)>;
 
-/// The request can't be served just now (503); the user may try again.
+/// Returns a 503 answer: the request can't be served now, and the user may retry.
 UserAnswer unavailable(const std::string& reason);
-/// The request is refused for good.
+/// Returns an answer that refuses the request and does not suggest a retry.
 UserAnswer refused(int status, const std::string& reason);
-/// The job's final state is durable.
+/// Returns an answer with the job's final state, which must be durable.
 UserAnswer final_state_answer(protocol::JobId id, bookkeeping::FinalState state);
-/// The state of a job in the leader's ledger.
+/// Returns an answer with the state of a job in the leader's ledger.
 UserAnswer ledger_answer(const bookkeeping::Job& job);
-/// The state of a job as it was looked up at `now`, in steady seconds; `if_never` if it was never accepted.
+/// Returns an answer with the state of a job that was looked up at `now`, in steady seconds; returns
+/// `if_never` if the job was never accepted.
 UserAnswer lookup_answer(protocol::JobId id, const JobLookup::Result& known, double now,
                          const UserAnswer& if_never);
 
