--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -113,7 +113,7 @@
     auto& run = job->runs.at(id.index);
     if (run.state != RunState::kPlanned || (job->spec.gang && job->gang != GangState::kLaunching)) continue;
     commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
-    launched(machine, *job, run, LaunchPath::kDirectCommand);
+    mark_launched(machine, *job, run, LaunchPath::kDirectCommand);
     machine.direct.insert({id, run.attempt});
   }
   if (!commands.empty()) direct_.send(machine, std::move(commands));
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -45,7 +45,7 @@
 void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, HeartbeatSource source) {
   const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
   if (agent_restarted) on_agent_restart(machine);
-  take_machine_facts(machine, heartbeat);
+  update_machine_attributes(machine, heartbeat);
   const auto shown = tasks_shown(heartbeat);
   placements_.set_unknown_tasks(machine, {});
   machine.clears.clear();
@@ -58,14 +58,14 @@
     if (found == job->runs.end()) continue;
     const auto entry = shown.find(id);
     if (entry == shown.end() || entry->second->attempt != found->second.attempt)
-      run_not_shown(machine, *job, id.index, {agent_restarted, source});
-    else if (run_shown(machine, *job, id.index, *entry->second))
+      handle_missing_run(machine, *job, id.index, {agent_restarted, source});
+    else if (update_reported_run(machine, *job, id.index, *entry->second))
       settled.insert(id);
   }
-  adopt_unknown(machine, shown, settled);
+  handle_unmatched_tasks(machine, shown, settled);
   for (const auto& task : heartbeat.tasks) {
     // The second entry of a task that stands twice.
-    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
+    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
   }
   confirm_reservations(machine);
   cancelled_work_.update(machine);
@@ -80,7 +80,7 @@
 }
 
 // Address, type, zone, kind, counters and notice.
-void Scheduler::take_machine_facts(Machine& machine, const Heartbeat& heartbeat) {
+void Scheduler::update_machine_attributes(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
   if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
       machine.cpus <= 0) {
@@ -91,7 +91,7 @@
     know_type(machine);
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
-  record_contact(machine, heartbeat.agent_epoch, heartbeat.seq);
+  record_liveness(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
                                 ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
@@ -102,14 +102,14 @@
 }
 
 // A run of ours that the heartbeat does not show.
-void Scheduler::run_not_shown(Machine& machine, Job& job, std::uint32_t index,
-                              const HeartbeatContext& context) {
+void Scheduler::handle_missing_run(Machine& machine, Job& job, std::uint32_t index,
+                                   const HeartbeatContext& context) {
   const TaskRun& run = job.runs.at(index);
   if (run.state == RunState::kPlanned) return;
   if (run.seen)
-    return run_lost(job, index,
-                    context.agent_restarted ? "its machine began a new agent epoch"
-                                            : "it is not on its machine any more");
+    return drop_lost_run(job, index,
+                         context.agent_restarted ? "its machine began a new agent epoch"
+                                                 : "it is not on its machine any more");
   // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
   // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
   // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
@@ -122,11 +122,11 @@
     note_undelivered(machine, 1);
     job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
   }
-  run_lost(job, index, "the launch did not arrive");
+  drop_lost_run(job, index, "the launch did not arrive");
 }
 
 // A run of ours, as the heartbeat shows it. True: it has ended.
-bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+bool Scheduler::update_reported_run(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
   if (!run.seen) {  // it took a command
     machine.undelivered = 0;
@@ -134,17 +134,18 @@
   }
   run.seen = true;
   if (task.phase == TaskPhase::kExited) {
-    task_exited(machine, job, index, task);
+    handle_task_exit(machine, job, index, task);
     return true;
   }
   if (run.state == RunState::kLaunched || run.state == RunState::kPlanned)
     JobLedger::set_run(job, run, RunState::kPresent);
-  if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning) run_began(machine, job, run);
+  if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning)
+    on_run_started(machine, job, run);
   run.phase = task.phase;
   return false;
 }
 
-void Scheduler::run_began(Machine& machine, Job& job, TaskRun& run) {
+void Scheduler::on_run_started(Machine& machine, Job& job, TaskRun& run) {
   const double now = context_.now.steady;
   run.running_since = now;
   machine.fetching += (now - run.launched_at) * job.spec.cpus;
@@ -158,8 +159,8 @@
 }
 
 // Tasks that are no runs of ours: an earlier leader's, or old attempts.
-void Scheduler::adopt_unknown(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
-                              const std::set<TaskId>& settled) {
+void Scheduler::handle_unmatched_tasks(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
+                                       const std::set<TaskId>& settled) {
   for (const auto& [id, task] : shown) {
     if (settled.contains(id)) continue;
     if (const Job* job = context_.jobs.find(id.job)) {
@@ -168,21 +169,21 @@
           run->second.attempt == task->attempt)
         continue;
     }
-    adopt(machine, *task);
+    handle_unmatched_task(machine, *task);
   }
 }
 
 // An attempt that a direct command started stays listed: the command may come once more, and would start it
 // again.
-void Scheduler::clear_later(Machine& machine, const TaskStatus& task) {
+void Scheduler::queue_clear(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
 }
 
-void Scheduler::adopt(Machine& machine, const TaskStatus& task) {
+void Scheduler::handle_unmatched_task(Machine& machine, const TaskStatus& task) {
   Job* job = context_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
-    clear_later(machine, task);
+    queue_clear(machine, task);
     if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
         task.task.index >= job->spec.tasks)
       return;
@@ -223,7 +224,7 @@
   if (job.done_count == job.spec.tasks) complete(job);
 }
 
-void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+void Scheduler::handle_task_exit(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   const TaskRun run = job.runs.at(index);
   placements_.remove_run(job, index);
   if (run.running_since > 0) {
@@ -234,12 +235,12 @@
     spdlog::debug("task {} attempt {} on {}: {}{}", protocol::task_text(task.task), task.attempt,
                   machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
   if (task.exit_reason == ExitReason::kDone) {
-    task_succeeded(machine, job, index, run);
-    clear_later(machine, task);
+    handle_task_success(machine, job, index, run);
+    queue_clear(machine, task);
     context_.metrics.count("tasks_done");
     return;
   }
-  clear_later(machine, task);
+  queue_clear(machine, task);
   if (job.over()) return;
   delay_next_attempt(machine, job, task.exit_reason);
   if (!job.spec.gang) {
@@ -250,7 +251,7 @@
     stop_gang(job, StopMode::kAtOnce, protocol::to_text(task.exit_reason));
 }
 
-void Scheduler::task_succeeded(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
+void Scheduler::handle_task_success(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
   machine.errors = 0;
   machine.error_jobs.clear();
   job.failures = 0;
@@ -282,7 +283,7 @@
   }
 }
 
-void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
+void Scheduler::drop_lost_run(Job& job, std::uint32_t index, const char* why) {
   context_.metrics.count("tasks_lost");
   spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
   placements_.remove_run(job, index);
@@ -291,10 +292,10 @@
   if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kAtOnce, why);
 }
 
-void Scheduler::lose_tasks(Machine& machine, const char* why) {
+void Scheduler::drop_machine_tasks(Machine& machine, const char* why) {
   const auto tasks = machine.tasks;
   for (const auto& id : tasks) {
-    if (Job* job = context_.jobs.find(id.job)) run_lost(*job, id.index, why);
+    if (Job* job = context_.jobs.find(id.job)) drop_lost_run(*job, id.index, why);
   }
   placements_.set_unknown_tasks(machine, {});
   mark_reconciled(machine);
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -24,7 +24,7 @@
 
 // Whether this controller may answer a heartbeat that shows the token; if not, the heartbeat is answered
 // here.
-bool Scheduler::entitled(std::uint64_t key, std::uint64_t fencing_token) {
+bool Scheduler::authorize_heartbeat(std::uint64_t key, std::uint64_t fencing_token) {
   if (fencing_token > election_.term()) {
     // Somebody newer leads: the worker must move on at once, while its lease still runs.
     election_.higher_term_seen(fencing_token);
@@ -37,7 +37,7 @@
 }
 
 void Scheduler::heartbeat(std::uint64_t key, const Heartbeat& heartbeat) {
-  if (!entitled(key, heartbeat.fencing_token)) return;
+  if (!authorize_heartbeat(key, heartbeat.fencing_token)) return;
   if (phase_ == LeaderPhase::kLoading) {
     if (early_.size() >= context_.per_machine(c::kEarlyPerMb)) return actions_.answer(key, 503, {});
     early_.push_back({key, heartbeat});
@@ -64,7 +64,7 @@
   if (heartbeat.fencing_token < election_.term()) {
     // It may be a copy from long ago, and an earlier leader's launch may still be on its way: it proves
     // nothing. Our token in the answer ends both, and its next heartbeat shows it.
-    first_contact(*machine, heartbeat);
+    record_stale_term_heartbeat(*machine, heartbeat);
     machine->last_answer = context_.now.steady;
     return actions_.answer(key, 200, {});
   }
@@ -88,9 +88,9 @@
     if (const Job* job = context_.jobs.find(id.job);
         job == nullptr || job->runs.at(id.index).state == RunState::kLaunched)
       return false;
-  if (!entitled(key, fencing_token)) return true;
+  if (!authorize_heartbeat(key, fencing_token)) return true;
   machine->seq = seq;
-  record_contact(*machine, agent_epoch, seq);
+  record_liveness(*machine, agent_epoch, seq);
   confirm_reservations(*machine);
   serve_machine(key, *machine);
   return true;
@@ -112,7 +112,7 @@
   actions_.answer(key, 200, commands_for(machine));
 }
 
-void Scheduler::first_contact(Machine& machine, const Heartbeat& heartbeat) {
+void Scheduler::record_stale_term_heartbeat(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
   machine.agent_epoch_guess = std::max(machine.agent_epoch_guess, heartbeat.agent_epoch);
   if (!machine.unreconciled && (machine.type != heartbeat.type || machine.zone != heartbeat.zone)) {
@@ -127,7 +127,7 @@
 }
 
 // Liveness: only a newer heartbeat of the machine counts.
-void Scheduler::record_contact(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
+void Scheduler::record_liveness(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
   const double now = context_.now.steady;
   if (!machine.saw_term || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
   machine.agent_epoch = agent_epoch;
@@ -164,7 +164,7 @@
   }
 }
 
-void Scheduler::launched(Machine& machine, Job& job, TaskRun& run, LaunchPath path) {
+void Scheduler::mark_launched(Machine& machine, Job& job, TaskRun& run, LaunchPath path) {
   const bool direct = path == LaunchPath::kDirectCommand;
   JobLedger::set_run(job, run, RunState::kLaunched);
   run.launched_at = context_.now.steady;
@@ -206,7 +206,7 @@
     } else if (run.state == RunState::kPlanned && may_launch && job->state == JobState::kActive &&
                (!job->spec.gang || job->gang == GangState::kLaunching)) {
       commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
-      launched(machine, *job, run, LaunchPath::kHeartbeatAnswer);
+      mark_launched(machine, *job, run, LaunchPath::kHeartbeatAnswer);
     }
   }
   return commands;
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -102,7 +102,7 @@
     return;
   }
   spdlog::info("machine {}: its lease has expired for certain", machine.name);
-  lose_tasks(machine, "the lease of its machine is over");
+  drop_machine_tasks(machine, "the lease of its machine is over");
 }
 
 void Scheduler::watch_machines() {
@@ -120,7 +120,7 @@
 
 void Scheduler::machine_gone(Machine& machine) {
   cancelled_work_.forget(machine);
-  lose_tasks(machine, "its machine was returned");
+  drop_machine_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
   // Only of machines that this leader has known all their life.
   if (machine.sent_heartbeat && machine.provisioned_at > 0 && machine.cpus > 0 &&
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -166,9 +166,9 @@
   void expect_old_cancelled_work_gone();
   bool reconciled();
   // ---- heartbeats ----
-  bool entitled(std::uint64_t key, std::uint64_t fencing_token);
-  void first_contact(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
-  void record_contact(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
+  bool authorize_heartbeat(std::uint64_t key, std::uint64_t fencing_token);
+  void record_stale_term_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
+  void record_liveness(bookkeeping::Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq);
   void apply_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat,
                        HeartbeatSource source);
   struct HeartbeatContext {
@@ -176,29 +176,29 @@
     HeartbeatSource source;
   };
   void on_agent_restart(bookkeeping::Machine& machine);
-  void take_machine_facts(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
-  void run_not_shown(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                     const HeartbeatContext& context);
-  bool run_shown(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                 const protocol::TaskStatus& task);
-  void run_began(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run);
-  void adopt_unknown(bookkeeping::Machine& machine,
-                     const std::map<protocol::TaskId, const protocol::TaskStatus*>& shown,
-                     const std::set<protocol::TaskId>& settled);
+  void update_machine_attributes(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
+  void handle_missing_run(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                          const HeartbeatContext& context);
+  bool update_reported_run(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                           const protocol::TaskStatus& task);
+  void on_run_started(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run);
+  void handle_unmatched_tasks(bookkeeping::Machine& machine,
+                              const std::map<protocol::TaskId, const protocol::TaskStatus*>& shown,
+                              const std::set<protocol::TaskId>& settled);
   void confirm_reservations(bookkeeping::Machine& machine);
   void serve_machine(std::uint64_t key, bookkeeping::Machine& machine);
   void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
-  void task_exited(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                   const protocol::TaskStatus& task);
-  void task_succeeded(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
-                      const bookkeeping::TaskRun& run);
+  void handle_task_exit(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                        const protocol::TaskStatus& task);
+  void handle_task_success(bookkeeping::Machine& machine, bookkeeping::Job& job, std::uint32_t index,
+                           const bookkeeping::TaskRun& run);
   void delay_next_attempt(bookkeeping::Machine& machine, bookkeeping::Job& job, protocol::ExitReason reason);
   void record_result(bookkeeping::Job& job, std::uint32_t index);
-  void adopt(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
-  void clear_later(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
+  void handle_unmatched_task(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
+  void queue_clear(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
-  void run_lost(bookkeeping::Job& job, std::uint32_t index, const char* why);
-  void lose_tasks(bookkeeping::Machine& machine, const char* why);
+  void drop_lost_run(bookkeeping::Job& job, std::uint32_t index, const char* why);
+  void drop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   void record_failure(bookkeeping::Machine& machine, bookkeeping::Job& job);
   void note_undelivered(bookkeeping::Machine& machine, int by);
   void probe_if_suspect(bookkeeping::Machine& machine);
@@ -263,8 +263,8 @@
   void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
   const char* why_waiting(const bookkeeping::Job& job) const;
-  void launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
-                LaunchPath path);
+  void mark_launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
+                     LaunchPath path);
 
   ControllerContext& context_;
   Election& election_;
