--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -87,7 +87,7 @@
     next_catalog_ = context_.now.steady;
     context_.types.clear();
     for (const auto& type : *types) context_.types[type.name] = type;
-    for (auto& [name, machine] : context_.machines.all()) scheduler_.know_type(machine);
+    for (auto& [name, machine] : context_.machines.all()) scheduler_.set_capacity_from_catalog(machine);
     if (!catalog_published_) publish_catalog();
   });
 }
@@ -136,7 +136,7 @@
       machine->spot = listed.spot;
       machine->addr = listed.addr;
       machine->provisioned_at = now - listed.age_s - context_.settings.list_lag_s;
-      scheduler_.know_type(*machine);
+      scheduler_.set_capacity_from_catalog(*machine);
     }
     if (machine->provisioned_at == 0) machine->provisioned_at = now - listed.age_s;
     machine->last_listed = now;
@@ -207,7 +207,7 @@
     machine.zone = pool.zone;
     machine.spot = pool.spot;
     machine.provisioned_at = context_.now.steady;
-    scheduler_.know_type(machine);
+    scheduler_.set_capacity_from_catalog(machine);
     spdlog::info("machine {} ({}) provisioned", name, to_text(pool));
     context_.metrics.count("machines_provisioned");
   }
@@ -235,7 +235,7 @@
     for (const auto& name : names) {
       Machine* machine = context_.machines.find(name);
       if (machine == nullptr) continue;
-      scheduler_.machine_gone(*machine);
+      scheduler_.on_machine_gone(*machine);
       machine->known_at = context_.now.steady;
       context_.metrics.count("machines_returned");
     }
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -83,7 +83,7 @@
       !machine.unreconciled &&
       context_.now.steady - machine.provisioned_at > boot_s * c::kBootFactor + c::kBootSlackS)
     return "it does not come up";
-  if (scheduler_.give_up(machine) && (!view.network_fault || machine.interruption_at))
+  if (scheduler_.unresponsive_too_long(machine) && (!view.network_fault || machine.interruption_at))
     return "it is unresponsive";
   if (machine.unreconciled && scheduler_.phase() == LeaderPhase::kServing && view.few_unreconciled &&
       machine.probe_failures >= c::kProbesEnough)
--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -11,7 +11,7 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 
-void CancelledWork::expect_gone(Machine& machine, const Job& job, double leader_since) {
+void CancelledWork::track(Machine& machine, const Job& job, double leader_since) {
   const double now = context_.now.steady;
   const double cancel_s = context_.settings.cancel_s;
   const double lease_s = context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
@@ -51,7 +51,7 @@
   machines_.erase(machine.name);
 }
 
-bool CancelledWork::late(const Machine& machine) const {
+bool CancelledWork::deadline_passed(const Machine& machine) const {
   return std::any_of(machine.overdue.begin(), machine.overdue.end(),
                      [&](const auto& entry) { return context_.now.steady >= entry.second; });
 }
--- a/src/coordination/leader/cancelled_work.hpp
+++ b/src/coordination/leader/cancelled_work.hpp
@@ -19,14 +19,14 @@
 
   void clear() { machines_.clear(); }
   /// Tasks of the cancelled job may be on the machine. `leader_since`: steady time at which this term began.
-  void expect_gone(bookkeeping::Machine& machine, const bookkeeping::Job& job, double leader_since);
+  void track(bookkeeping::Machine& machine, const bookkeeping::Job& job, double leader_since);
   /// After a heartbeat: drops the deadlines of jobs that have no task on the machine any more.
   void update(bookkeeping::Machine& machine);
   /// The machine itself is gone.
   void forget(bookkeeping::Machine& machine);
 
   /// Whether a deadline of the machine has passed.
-  bool late(const bookkeeping::Machine& machine) const;
+  bool deadline_passed(const bookkeeping::Machine& machine) const;
   /// Whether some machine may still hold tasks of the cancelled job.
   bool may_remain(protocol::JobId id) const;
 
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -29,7 +29,7 @@
 constexpr int kRefused = 409;
 }  // namespace
 
-void Scheduler::direct_answer(std::uint64_t id, int status, const Heartbeat* heartbeat) {
+void Scheduler::handle_direct_answer(std::uint64_t id, int status, const Heartbeat* heartbeat) {
   const auto open = direct_.close(id);
   if (!open) return;
   Machine* machine = context_.machines.find(open->machine);
@@ -62,7 +62,7 @@
   for (const auto id : machine.reservations)
     if (Job* job = context_.jobs.find(id); job != nullptr && job->gang == GangState::kReserving)
       job->avoid[machine.name] = avoid_until;
-  requeue_reserving_gangs(machine);
+  requeue_gangs_reserving_on(machine);
 }
 
 // The worker's answer shows our token: it is as good as a heartbeat, except that a launch in the answer to
@@ -82,7 +82,7 @@
 }
 
 // The gangs that reserve capacity on the machine look for other capacity.
-void Scheduler::requeue_reserving_gangs(Machine& machine) {
+void Scheduler::requeue_gangs_reserving_on(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: releasing changes the list
   for (const auto id : holders) {
     Job* job = context_.jobs.find(id);
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -74,7 +74,7 @@
 void Scheduler::on_agent_restart(Machine& machine) {
   // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
-    note_undelivered(machine, c::kUndeliveredMost);
+    record_undelivered(machine, c::kUndeliveredMost);
   // Commands for the old agent epoch are refused from now on.
   machine.direct.clear();
 }
@@ -88,7 +88,7 @@
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
-    know_type(machine);
+    set_capacity_from_catalog(machine);
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
   record_liveness(machine, heartbeat.agent_epoch, heartbeat.seq);
@@ -119,7 +119,7 @@
                                             std::tie(run.launch_agent_epoch, run.launch_seq);
   if (!settled) return;
   if (!run.direct) {
-    note_undelivered(machine, 1);
+    record_undelivered(machine, 1);
     job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
   }
   drop_lost_run(job, index, "the launch did not arrive");
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -119,7 +119,7 @@
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
-    know_type(machine);
+    set_capacity_from_catalog(machine);
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
   // It was answered with our token again and again and still does not show it: our answers don't reach it.
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -44,7 +44,7 @@
           job->mod_revision = mod_revision;
           job->ready_on_record = true;
           if (whole) job->durable_version = version;
-          push_final(*job);
+          write_final_record(*job);
         } else if (outcome == WriteOutcome::kConflict) {
           read_job(id);
         }
@@ -55,18 +55,18 @@
 void Scheduler::complete(Job& job) {
   if (job.state != JobState::kActive) return;
   JobLedger::set_state(job, JobState::kCompleting);
-  push_final(job);
+  write_final_record(job);
 }
 
 void Scheduler::cancel(Job& job) {
   if (job.over()) return;
   // Nothing of it starts from here on, whatever becomes of the write.
   JobLedger::set_state(job, JobState::kCancelling);
-  push_final(job);
+  write_final_record(job);
 }
 
 // Writes the final record of a job that is about to be over; called again until that is done.
-void Scheduler::push_final(Job& job) {
+void Scheduler::write_final_record(Job& job) {
   if (job.writing || (job.state != JobState::kCompleting && job.state != JobState::kCancelling)) return;
   const JobId id = job.spec.id;
   const FinalState state = job.state == JobState::kCompleting ? FinalState::kDone : FinalState::kCancelled;
@@ -91,7 +91,7 @@
         if (outcome == WriteOutcome::kDone) {
           job->mod_revision = mod_revision;
           job->marked = state == FinalState::kCancelled;
-          job_over(*job, state);
+          finish_job(*job, state);
         } else if (outcome == WriteOutcome::kConflict)
           read_job(id);
       });
@@ -107,7 +107,7 @@
   if (phase_ != LeaderPhase::kNone) dependencies_.finished(id, FinalState::kCancelled);
   if (phase_ != LeaderPhase::kReconciling && phase_ != LeaderPhase::kServing) return;
   Job* job = context_.jobs.find(id);
-  if (job != nullptr) job_over(*job, FinalState::kCancelled);
+  if (job != nullptr) finish_job(*job, FinalState::kCancelled);
   // For the mod revision of its record, which is deleted in the end.
   if (!known || (job != nullptr && !job->marked)) read_job(id);
 }
@@ -122,11 +122,11 @@
   }
   reading_.emplace(id, OpenRead::kOnce);
   context_.state.read(JobLedger::live_key(id), [this, id, generation = generation_](const StateRead& read) {
-    if (generation == generation_) live_record_read(id, read);
+    if (generation == generation_) on_live_record_read(id, read);
   });
 }
 
-void Scheduler::live_record_read(JobId id, const StateRead& read) {
+void Scheduler::on_live_record_read(JobId id, const StateRead& read) {
   const OpenRead kind = reading_.at(id);
   reading_.erase(id);
   if (kind == OpenRead::kReadAgain) return read_job(id);
@@ -152,12 +152,12 @@
   job.marked = cancelled;
   if (cancelled) {
     job.cancelled_on_record = true;
-    job_over(job, FinalState::kCancelled);
+    finish_job(job, FinalState::kCancelled);
   } else if (job.over() && job.final_state == FinalState::kCancelled) {
     // Cancelled through a dependency: only that one's record says so.
     job.cancelled_on_record = job.state != JobState::kOver;
   }
-  push_final(job);
+  write_final_record(job);
 }
 
 // The live record of a job that another controller admitted.
@@ -169,7 +169,7 @@
   if (job->state == JobState::kOver)
     context_.jobs.remember_final(id, job->final_state);  // cancelled before anything of it was placed
   else
-    job_added(*job);
+    on_job_added(*job);
 }
 
 // The job has no live record any more, so it should have a final one.
@@ -185,11 +185,11 @@
     const auto state = JobLedger::final_from_record(read.value);
     if (!state) return;
     job->cancelled_on_record = true;
-    job_over(*job, *state);
+    finish_job(*job, *state);
   });
 }
 
-void Scheduler::job_over(Job& job, FinalState state) {
+void Scheduler::finish_job(Job& job, FinalState state) {
   if (job.state == JobState::kOver) return;
   JobLedger::set_state(job, JobState::kOver);
   job.final_state = state;
@@ -214,28 +214,28 @@
     if (const auto& run = job.runs.at(index);
         state == FinalState::kCancelled && run.state != RunState::kPlanned)
       if (Machine* machine = context_.machines.find(run.machine))
-        cancelled_work_.expect_gone(*machine, job, began_);
+        cancelled_work_.track(*machine, job, began_);
     stop_run(job, index, 0);
   }
   send_stops();
 }
 
-void Scheduler::arrived(const Job& job) {
+void Scheduler::record_arrival(const Job& job) {
   run_times_.estimated(job.spec);
   arrivals_.record(job, time_left(job));
 }
 
-void Scheduler::job_added(Job& job) {
+void Scheduler::on_job_added(Job& job) {
   if (job.state == JobState::kWaiting)
     dependencies_.watch(job);
   else
-    arrived(job);
+    record_arrival(job);
   round_wanted_ = true;
   queue_order_.mark_changed();
 }
 
 // Its clocks, but for the deadline, begin here.
-void Scheduler::dependencies_done(Job& job) {
+void Scheduler::release_waiting_job(Job& job) {
   JobLedger::set_state(job, JobState::kActive);
   job.spec.dependencies.clear();
   job.ready_ms = context_.now.wall_ms;
@@ -244,14 +244,14 @@
   context_.metrics.count("jobs_released");
   round_wanted_ = true;
   queue_order_.mark_changed();
-  if (phase_ != LeaderPhase::kLoading) arrived(job);
+  if (phase_ != LeaderPhase::kLoading) record_arrival(job);
 }
 
 // The record of what it needs says that it is cancelled. A record of its own makes that cheap to find, later.
-void Scheduler::dependency_cancelled(Job& job) {
+void Scheduler::cancel_waiting_job(Job& job) {
   if (job.over()) return;
   job.cancelled_on_record = false;
-  job_over(job, FinalState::kCancelled);
+  finish_job(job, FinalState::kCancelled);
 }
 
 // Nothing of it was ever placed, so no leader needs its description.
@@ -294,7 +294,7 @@
   for (const auto id : std::exchange(reread_, {})) read_job(id);
   std::vector<JobId> gone;
   for (auto& [id, job] : context_.jobs.all()) {
-    push_final(*job);
+    write_final_record(*job);
     write_progress(*job);
     if (job->state != JobState::kOver || job->writing) continue;
     if (!job->cancelled_on_record) {
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -52,7 +52,7 @@
 
 // Commands that newer heartbeats show were never taken. Whether the machine is unreachable is settled by a
 // probe.
-void Scheduler::note_undelivered(Machine& machine, int by) {
+void Scheduler::record_undelivered(Machine& machine, int by) {
   machine.undelivered += by;
   if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
 }
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -15,7 +15,7 @@
 using bookkeeping::MachineLedger;
 using bookkeeping::MachineState;
 
-double Scheduler::lease_over_at(const Machine& machine) const {
+double Scheduler::lease_expired_by(const Machine& machine) const {
   return last_answer_at(machine) + context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
 }
 
@@ -45,28 +45,28 @@
   context_.machines.set_unanswered(machine, context_.now.wall_ms + static_cast<std::int64_t>(since_s * 1000));
 }
 
-bool Scheduler::give_up(const Machine& machine) const {
+bool Scheduler::unresponsive_too_long(const Machine& machine) const {
   if (machine.state != MachineState::kUnresponsive) return false;
   const double unresponsive_since = std::max(machine.last_heartbeat, began_);
   return context_.now.steady - unresponsive_since >
          std::max(c::kUnresponsiveMinS, c::kUnresponsiveHeartbeats * context_.settings.heartbeat_interval_s);
 }
 // A machine whose heartbeats stopped becomes unresponsive, and gangs look for capacity elsewhere.
-void Scheduler::detect_silence(Machine& machine) {
+void Scheduler::detect_missed_heartbeats(Machine& machine) {
   const double patience = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
   const bool present = machine.state == MachineState::kUp || machine.state == MachineState::kBooting;
   const double silent_since = std::max(machine.last_heartbeat, began_);
   if (!present || !expected || context_.now.steady - silent_since <= 2 * patience) return;
   MachineLedger::set_state(machine, MachineState::kUnresponsive);
-  requeue_reserving_gangs(machine);
+  requeue_gangs_reserving_on(machine);
 }
 
 // A machine that hangs runs nothing, but what is on it is not gone before it moves again, or the cloud says
 // so.
-void Scheduler::return_if_cancelled_work_stays(Machine& machine) {
+void Scheduler::return_if_cancelled_work_overdue(Machine& machine) {
   if (machine.state == MachineState::kReturning || machine.state == MachineState::kGone) return;
-  if (!cancelled_work_.late(machine)) return;
+  if (!cancelled_work_.deadline_passed(machine)) return;
   spdlog::info("machine {} is returned: no heartbeat shows that cancelled work is gone", machine.name);
   MachineLedger::set_state(machine, MachineState::kReturning);
 }
@@ -74,7 +74,7 @@
 // Whether a direct launch is unanswered. While the machine's agent epoch lasts it may still be carried out,
 // and neither silence nor a lease that is over ends that: only the cloud's confirmation of the machine's
 // return does. Returns the machine when that could start cancelled work.
-bool Scheduler::watch_direct_launches(Machine& machine) {
+bool Scheduler::check_unanswered_launches(Machine& machine) {
   if (machine.direct.empty() || machine.state == MachineState::kGone) return false;
   bool any_open = false;
   for (const auto& id : machine.tasks) {
@@ -93,10 +93,10 @@
 
 // What a silent machine may hold is lost when its lease has expired for certain, unless a direct launch could
 // still start work there.
-void Scheduler::settle_expired_lease(Machine& machine, bool has_open_launch) {
+void Scheduler::handle_expired_lease(Machine& machine, bool has_open_launch) {
   if (machine.state != MachineState::kUnresponsive && machine.state != MachineState::kReturning) return;
   const bool has_work = !machine.tasks.empty() || machine.unreconciled || !machine.unknown_tasks.empty();
-  if (!has_work || context_.now.steady <= lease_over_at(machine) || machine.agent_reset) return;
+  if (!has_work || context_.now.steady <= lease_expired_by(machine) || machine.agent_reset) return;
   if (has_open_launch) {
     MachineLedger::set_state(machine, MachineState::kReturning);
     return;
@@ -107,18 +107,18 @@
 
 void Scheduler::watch_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
-    detect_silence(machine);
+    detect_missed_heartbeats(machine);
     const bool probes_failed = machine.unreconciled && machine.probe_failures >= c::kProbesEnough;
     if (phase_ == LeaderPhase::kServing && election_.valid() &&
         (machine.state == MachineState::kUnresponsive || probes_failed))
       stop_answering(machine);
-    return_if_cancelled_work_stays(machine);
-    const bool has_open_launch = watch_direct_launches(machine);
-    settle_expired_lease(machine, has_open_launch);
+    return_if_cancelled_work_overdue(machine);
+    const bool has_open_launch = check_unanswered_launches(machine);
+    handle_expired_lease(machine, has_open_launch);
   }
 }
 
-void Scheduler::machine_gone(Machine& machine) {
+void Scheduler::on_machine_gone(Machine& machine) {
   cancelled_work_.forget(machine);
   drop_machine_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -69,7 +69,7 @@
   set_phase(LeaderPhase::kNone);
 }
 
-void Scheduler::load_failed(std::function<void()> again) {
+void Scheduler::retry_load(std::function<void()> again) {
   // A page that did not come is asked for again by a cheap read after a pause; the lease bounds how long this
   // goes on.
   const double since = context_.now.steady;
@@ -80,14 +80,14 @@
         if (context_.now.steady - since > c::kLoadRetryS || context_.state.reachable(context_.now.steady))
           again();
         else
-          load_failed(again);
+          retry_load(again);
       },
       bookkeeping::StateClient::Urgency::kFirst);
 }
 
 void Scheduler::load_change_log() {
   change_log_.begin([this](bool read) {
-    if (!read) return load_failed([this] { load_change_log(); });
+    if (!read) return retry_load([this] { load_change_log(); });
     load_jobs("");
   });
 }
@@ -97,7 +97,7 @@
       bookkeeping::kLiveJobPrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
-        if (!page) return load_failed([this, after] { load_jobs(after); });
+        if (!page) return retry_load([this, after] { load_jobs(after); });
         for (const auto& item : page->items) {
           auto job = JobLedger::from_record(item.value, item.mod_revision, context_.now.steady);
           if (!job) {
@@ -118,7 +118,7 @@
       bookkeeping::kMachinePrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
-        if (!page) return load_failed([this, after] { load_machines(after); });
+        if (!page) return retry_load([this, after] { load_machines(after); });
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
           if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
@@ -153,17 +153,17 @@
     if (job->state == JobState::kWaiting) waiting.push_back(job.get());
   for (Job* job : waiting)
     if (job->state == JobState::kWaiting) dependencies_.watch(*job);
-  if (dependencies_.release_decided()) return loaded();
+  if (dependencies_.release_decided()) return finish_loading();
   loading_dependencies_ = true;
 }
 
 // The ledger is complete: works out what earlier leaders may have left running, and begins to reconcile.
-void Scheduler::loaded() {
+void Scheduler::finish_loading() {
   loading_dependencies_ = false;
   list_unreconciled_machines();
   settle_loaded_jobs();
   unreconciled_.charge_quota();
-  expect_old_cancelled_work_gone();
+  track_previously_cancelled_jobs();
   context_.cancellations.change_log_read(election_.last_renewed());
   const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   reconcile_until_ =
@@ -178,8 +178,8 @@
 // Machines of earlier leaders are unreconciled, unless their lease has expired for certain.
 void Scheduler::list_unreconciled_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
-    know_type(machine);
-    if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
+    set_capacity_from_catalog(machine);
+    if (machine.unanswered_since_ms && context_.now.steady > lease_expired_by(machine))
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
     unreconciled_.add(machine);
@@ -187,28 +187,28 @@
   }
 }
 
-// Ends the jobs that are over already, and counts the others as arrived.
+// Ends the jobs that are over already, and counts the others as record_arrival.
 void Scheduler::settle_loaded_jobs() {
   for (auto& [id, job] : context_.jobs.all()) {
     // The list may have been made just before another controller withdrew the job.
     if (const auto state = context_.jobs.final_state(id); state && !job->over()) {
-      job_over(*job, *state);
+      finish_job(*job, *state);
       read_job(id);
     }
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
-    if (job->state == JobState::kActive) arrived(*job);
+    if (job->state == JobState::kActive) record_arrival(*job);
   }
 }
 
 // Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
 // one that hangs also after its lease.
-void Scheduler::expect_old_cancelled_work_gone() {
+void Scheduler::track_previously_cancelled_jobs() {
   for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
     for (auto& [name, machine] : context_.machines.all())
       if ((machine.unreconciled || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
-        cancelled_work_.expect_gone(machine, *job, began_);
+        cancelled_work_.track(machine, *job, began_);
   }
 }
 
@@ -229,7 +229,7 @@
   return any;
 }
 
-void Scheduler::know_type(Machine& machine) {
+void Scheduler::set_capacity_from_catalog(Machine& machine) {
   const auto found = context_.types.find(machine.type);
   if (found == context_.types.end()) return;
   machine.cpus = found->second.cpus;
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -58,7 +58,7 @@
 
 void DirectCalls::finish(const std::string& requester, std::uint64_t id, int status,
                          const protocol::Heartbeat* heartbeat) {
-  if (requester.empty()) return scheduler_.direct_answer(id, status, heartbeat);
+  if (requester.empty()) return scheduler_.handle_direct_answer(id, status, heartbeat);
   PeerMessage result;
   result.kind = PeerKind::kProbeResult;
   result.request = id;
@@ -72,8 +72,8 @@
 void DirectCalls::on_peer_result(const PeerMessage& result) {
   // A result that comes after its deadline was reported as unanswered already.
   if (delegated_.erase(result.request) == 0) return;
-  scheduler_.direct_answer(result.request, static_cast<int>(result.status),
-                           result.status != 0 ? &result.heartbeat : nullptr);
+  scheduler_.handle_direct_answer(result.request, static_cast<int>(result.status),
+                                  result.status != 0 ? &result.heartbeat : nullptr);
 }
 
 void DirectCalls::tick() {
@@ -82,7 +82,7 @@
     if (context_.now.steady >= deadline) overdue.push_back(id);
   for (const auto id : overdue) {
     delegated_.erase(id);
-    scheduler_.direct_answer(id, 0, nullptr);
+    scheduler_.handle_direct_answer(id, 0, nullptr);
   }
 }
 
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -215,7 +215,7 @@
   if (!admission.as_leader || !leading() || election_.term() != admission.term) return job_changed_(spec.id);
   // The answer may come after that to a cancellation which went another way.
   if (context_.jobs.find(spec.id) != nullptr || context_.jobs.final_state(spec.id)) return;
-  scheduler_.job_added(context_.jobs.add(spec, mod_revision, admission.submitted_ms, context_.now.steady));
+  scheduler_.on_job_added(context_.jobs.add(spec, mod_revision, admission.submitted_ms, context_.now.steady));
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -45,7 +45,7 @@
       lookup_(context, [this](protocol::JobId id) { on_cancelled_elsewhere(id); }),
       dependencies_(
           context, lookup_,
-          {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
+          {[this](Job& job) { release_waiting_job(job); }, [this](Job& job) { cancel_waiting_job(job); },
            [this](protocol::JobId id) { read_job(id); }}),
       arrivals_(context, run_times_),
       queue_order_(context, run_times_),
@@ -118,7 +118,7 @@
     if (!loading_dependencies_) return;
     dependencies_.tick();
     if (!dependencies_.release_decided()) return;
-    loaded();
+    finish_loading();
   }
   direct_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -70,7 +70,7 @@
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
   /// The answer to the direct command `id`; `heartbeat` is null, and `status` 0, if there was none.
-  void direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
+  void handle_direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
   /// When this term began to place; 0 before the first time.
@@ -89,15 +89,15 @@
   }
 
   /// A job was admitted, and is in the ledger.
-  void job_added(bookkeeping::Job& job);
+  void on_job_added(bookkeeping::Job& job);
   /// The final record is durable (ours or another controller's): nothing of the job may start, all of it must
   /// go.
-  void job_over(bookkeeping::Job& job, bookkeeping::FinalState state);
+  void finish_job(bookkeeping::Job& job, bookkeeping::FinalState state);
   /// A user cancels the job: nothing of it starts from now on, and its final record is written.
   void cancel(bookkeeping::Job& job);
   /// All that the job needs is durably done, or something that it needs is durably cancelled.
-  void dependencies_done(bookkeeping::Job& job);
-  void dependency_cancelled(bookkeeping::Job& job);
+  void release_waiting_job(bookkeeping::Job& job);
+  void cancel_waiting_job(bookkeeping::Job& job);
   /// Another controller wrote about this job.
   void read_job(protocol::JobId id);
   /// Another controller made a cancellation durable.
@@ -109,17 +109,17 @@
       reconcile_until_ = context_.now.steady;
   }
   /// The cloud confirmed that the machine is gone.
-  void machine_gone(bookkeeping::Machine& machine);
+  void on_machine_gone(bookkeeping::Machine& machine);
   /// Takes the machine's capacity from the catalog, if its type is listed.
-  void know_type(bookkeeping::Machine& machine);
+  void set_capacity_from_catalog(bookkeeping::Machine& machine);
   /// When (steady) the machine's lease has expired for certain.
-  double lease_over_at(const bookkeeping::Machine& machine) const;
+  double lease_expired_by(const bookkeeping::Machine& machine) const;
   /// The last moment (steady) at which any controller can have answered one of its heartbeats.
   double last_answer_at(const bookkeeping::Machine& machine) const;
   /// Puts on record that a silent machine gets no answers, once it has been silent for long enough.
   void stop_answering(bookkeeping::Machine& machine);
   /// An unresponsive machine that is worth giving up.
-  bool give_up(const bookkeeping::Machine& machine) const;
+  bool unresponsive_too_long(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
   /// Time until the job should be over: by its own due time or by its class's aim.
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
@@ -151,19 +151,19 @@
     kAtOnce,
   };
 
-  void arrived(const bookkeeping::Job& job);
+  void record_arrival(const bookkeeping::Job& job);
   void set_phase(LeaderPhase phase);
   // ---- loading ----
   void load_change_log();
   void load_jobs(const std::string& after);
   void load_machines(const std::string& after);
   void load_catalog();
-  void load_failed(std::function<void()> again);
+  void retry_load(std::function<void()> again);
   void load_dependencies();
-  void loaded();
+  void finish_loading();
   void list_unreconciled_machines();
   void settle_loaded_jobs();
-  void expect_old_cancelled_work_gone();
+  void track_previously_cancelled_jobs();
   bool reconciled();
   // ---- heartbeats ----
   bool authorize_heartbeat(std::uint64_t key, std::uint64_t fencing_token);
@@ -200,7 +200,7 @@
   void drop_lost_run(bookkeeping::Job& job, std::uint32_t index, const char* why);
   void drop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   void record_failure(bookkeeping::Machine& machine, bookkeeping::Job& job);
-  void note_undelivered(bookkeeping::Machine& machine, int by);
+  void record_undelivered(bookkeeping::Machine& machine, int by);
   void probe_if_suspect(bookkeeping::Machine& machine);
   void cordon(bookkeeping::Machine& machine, const char* why);
   void mark_reconciled(bookkeeping::Machine& machine);
@@ -240,12 +240,12 @@
   void direct_command_failed(bookkeeping::Machine& machine);
   void direct_command_answered(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
   void return_reset_machine(bookkeeping::Machine& machine);
-  void requeue_reserving_gangs(bookkeeping::Machine& machine);
+  void requeue_gangs_reserving_on(bookkeeping::Machine& machine);
   void check_reserving_gangs(bookkeeping::Machine& machine);
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable ----
-  void live_record_read(protocol::JobId id, const bookkeeping::StateRead& read);
+  void on_live_record_read(protocol::JobId id, const bookkeeping::StateRead& read);
   void update_from_record(bookkeeping::Job& job, const bookkeeping::StateRead& read);
   void add_from_record(protocol::JobId id, const bookkeeping::StateRead& read);
   void read_final_record(protocol::JobId id);
@@ -254,13 +254,13 @@
   void write_progress(bookkeeping::Job& job);
   bool has_remaining_tasks(protocol::JobId id);
   void complete(bookkeeping::Job& job);
-  void push_final(bookkeeping::Job& job);
+  void write_final_record(bookkeeping::Job& job);
   void sweep_jobs();
   void watch_machines();
-  void detect_silence(bookkeeping::Machine& machine);
-  void return_if_cancelled_work_stays(bookkeeping::Machine& machine);
-  bool watch_direct_launches(bookkeeping::Machine& machine);
-  void settle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
+  void detect_missed_heartbeats(bookkeeping::Machine& machine);
+  void return_if_cancelled_work_overdue(bookkeeping::Machine& machine);
+  bool check_unanswered_launches(bookkeeping::Machine& machine);
+  void handle_expired_lease(bookkeeping::Machine& machine, bool has_open_launch);
   void log_wait_reasons();
   const char* why_waiting(const bookkeeping::Job& job) const;
   void mark_launched(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run,
