--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -54,11 +54,11 @@
   ++generation_;
   reading_ = false;
   read_began_ = 0;
-  uncollected_.clear();
-  auto waiting = std::move(waiting_for_open_);
-  for (auto& done : waiting_for_next_) waiting.push_back(std::move(done));
-  waiting_for_open_.clear();
-  waiting_for_next_.clear();
+  failed_deletions_.clear();
+  auto waiting = std::move(waiting_for_current_read_);
+  for (auto& done : waiting_for_next_read_) waiting.push_back(std::move(done));
+  waiting_for_current_read_.clear();
+  waiting_for_next_read_.clear();
   for (const auto& done : waiting) done(false);
 }
 
@@ -83,10 +83,10 @@
   context_.state.watch(kPrefix, after,
                        [this, after, generation = generation_](const bookkeeping::WatchResult& result) {
                          if (generation != generation_) return;
-                         for (const auto& event : result.events) take_event(event);
+                         for (const auto& event : result.events) handle_event(event);
                          if (result.complete()) return watch(std::max(after, result.revision));
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
-                           return events_.lost();  // what happened meanwhile is unknown
+                           return events_.entries_missed();  // what happened meanwhile is unknown
                          // No answer: pause by way of a read, then watch on from the same place.
                          context_.state.read(
                              bookkeeping::kTermKey,
@@ -97,7 +97,7 @@
                        });
 }
 
-void ChangeLog::take_event(const bookkeeping::StateEvent& event) {
+void ChangeLog::handle_event(const bookkeeping::StateEvent& event) {
   if (event.deleted) return;
   if (const auto id = job_of_key(event.key)) {
     if (is_cancellation(event.value))
@@ -115,15 +115,15 @@
       {{key, mod_revision, std::nullopt}},
       [this, key, mod_revision, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
-          uncollected_.push_back({key, mod_revision});
+          failed_deletions_.push_back({key, mod_revision});
       },
       WriteClass::kTidy);
 }
 
-void ChangeLog::delete_uncollected() {
-  while (!uncollected_.empty() && context_.writer.waiting() < c::kQuietWriter) {
-    const StoredEntry entry = uncollected_.back();
-    uncollected_.pop_back();
+void ChangeLog::retry_deletions() {
+  while (!failed_deletions_.empty() && context_.writer.waiting() < c::kQuietWriter) {
+    const StoredEntry entry = failed_deletions_.back();
+    failed_deletions_.pop_back();
     delete_entry(entry.key, entry.mod_revision);
   }
 }
@@ -131,7 +131,7 @@
 void ChangeLog::tick() { start_read_if_due(); }
 
 void ChangeLog::after_fresh_read(Done done) {
-  waiting_for_next_.push_back(std::move(done));
+  waiting_for_next_read_.push_back(std::move(done));
   start_read_if_due();
 }
 
@@ -139,15 +139,15 @@
   if (reading_) return;
   const double shortest_pause_s = c::kChangeLogCalls / context_.settings.state_rps;
   double pause_s = c::kLoadRetryS;
-  if (!waiting_for_next_.empty())
+  if (!waiting_for_next_read_.empty())
     pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
   else if (election_.caught_up())
     pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
   if (context_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
   read_began_ = context_.now.steady;
-  waiting_for_open_ = std::move(waiting_for_next_);
-  waiting_for_next_.clear();
+  waiting_for_current_read_ = std::move(waiting_for_next_read_);
+  waiting_for_next_read_.clear();
   context_.cancellations.change_log_requested(context_.now.steady);
   read("");
 }
@@ -171,7 +171,7 @@
 
 void ChangeLog::finish_read(bool read) {
   reading_ = false;
-  const auto waiting = std::exchange(waiting_for_open_, {});
+  const auto waiting = std::exchange(waiting_for_current_read_, {});
   for (const auto& done : waiting) done(read);
 }
 
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -23,7 +23,7 @@
   struct Events {
     std::function<void(protocol::JobId)> cancelled;  // another controller made a cancellation durable
     std::function<void(protocol::JobId)> changed;    // another controller admitted the job
-    std::function<void()> lost;                      // entries may have been missed
+    std::function<void()> entries_missed;            // entries may have been missed
   };
   /// `read`: whether the log could be read.
   using Done = std::function<void(bool read)>;
@@ -39,7 +39,7 @@
   /// Starts the regular read when it is due.
   void tick();
   /// Deletes entries that were acted on, while the writer is quiet.
-  void delete_uncollected();
+  void retry_deletions();
 
   /// Calls `done` after a read of the whole log that began after this call. All that wait share one read, so
   /// a flood of requests costs the state service no more than a few reads a second.
@@ -56,7 +56,7 @@
   };
   void load(const std::string& after, std::uint64_t watch_from, Done done);
   void watch(std::uint64_t after);
-  void take_event(const bookkeeping::StateEvent& event);
+  void handle_event(const bookkeeping::StateEvent& event);
   void read(const std::string& after);
   void finish_read(bool read);
   void start_read_if_due();
@@ -67,10 +67,10 @@
   Events events_;
   std::uint64_t generation_ = 0;  // of leadership: answers to calls of an earlier one are ignored
   bool reading_ = false;
-  double read_began_ = 0;               // s, steady
-  std::vector<Done> waiting_for_next_;  // requests that came after the open read began
-  std::vector<Done> waiting_for_open_;
-  std::vector<StoredEntry> uncollected_;  // still to be deleted
+  double read_began_ = 0;                    // s, steady
+  std::vector<Done> waiting_for_next_read_;  // requests that came after the open read began
+  std::vector<Done> waiting_for_current_read_;
+  std::vector<StoredEntry> failed_deletions_;  // still to be deleted
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -102,19 +102,19 @@
   });
 }
 
-bool Dependencies::release_decided() {
+bool Dependencies::release_states_known() {
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kWaiting) continue;
     const auto& needed = graph_.dependencies(id);
-    const bool held = std::any_of(needed.begin(), needed.end(), [this](JobId dependency) {
+    const bool blocked = std::any_of(needed.begin(), needed.end(), [this](JobId dependency) {
       return known_unfinished(dependency) || missing_.contains(dependency);
     });
-    if (!held) return false;
+    if (!blocked) return false;
   }
   return true;
 }
 
-void Dependencies::inherit(const std::function<double(const Job&)>& duration_s) {
+void Dependencies::inherit_priorities(const std::function<double(const Job&)>& duration_s) {
   for (auto& [id, job] : context_.jobs.all()) {
     job->inherited_priority = Priority::kLow;
     job->inherited_due_ms = std::numeric_limits<double>::infinity();
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -13,9 +13,9 @@
 namespace robinford::coordination {
 
 /// The leader's handling of waiting jobs: finds out what became of the jobs that they need, reports when one
-/// is ready or cancelled, and computes what jobs inherit from those that need them. Only durable records
-/// release a job. Its state belongs to one term of leadership; answers that belong to an earlier one are
-/// ignored.
+/// is ready or cancelled, and computes what jobs inherit_priorities from those that need them. Only durable
+/// records release a job. Its state belongs to one term of leadership; answers that belong to an earlier one
+/// are ignored.
 class Dependencies {
  public:
   /// What the leader has to act on.
@@ -37,12 +37,12 @@
   void tick();
 
   /// Of every dependency it is known whether it is over: answers about waiting jobs may come from memory.
-  bool settled() const { return unknown_.empty(); }
+  bool all_states_known() const { return unknown_.empty(); }
   /// Each waiting job waits for one that is known not to be done. The others might have been released by an
   /// earlier leader, so a new one knows them for what they are before it looks at any heartbeat.
-  bool release_decided();
+  bool release_states_known();
   /// Priorities and due times of all jobs, from those that need them. `duration_s`: from ready to done.
-  void inherit(const std::function<double(const bookkeeping::Job&)>& duration_s);
+  void inherit_priorities(const std::function<double(const bookkeeping::Job&)>& duration_s);
 
  private:
   void read(protocol::JobId id);
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -41,19 +41,20 @@
               calls_per_second(context.settings)) {}
 
 void DirectCommands::clear() {
-  open_.clear();
+  open_commands_.clear();
   to_probe_.clear();
   unreachable_ = 0;
 }
 
 bool DirectCommands::can_send() const {
-  return open_.size() < static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
+  return open_commands_.size() <
+         static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
 }
 
 void DirectCommands::send(Machine& machine, std::vector<Command> commands) {
   if (machine.addr.empty() || !election_.owns_fencing_token()) return;
   budget_.take(1);
-  Open open;
+  OpenCommand open;
   open.machine = machine.name;
   open.agent_epoch = machine.saw_term ? machine.agent_epoch : machine.agent_epoch_guess;
   if (machine.saw_term) {
@@ -65,7 +66,7 @@
   machine.last_probe_at = context_.now.steady;
   context_.metrics.count("direct_calls");
   const DirectCall call{id, machine.addr, open.agent_epoch, std::move(commands)};
-  open_.emplace(id, std::move(open));
+  open_commands_.emplace(id, std::move(open));
   send_(call);
 }
 
@@ -87,11 +88,11 @@
   }
 }
 
-std::optional<DirectCommands::Open> DirectCommands::close(std::uint64_t id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return std::nullopt;
-  Open open = std::move(found->second);
-  open_.erase(found);
+std::optional<DirectCommands::OpenCommand> DirectCommands::close(std::uint64_t id) {
+  const auto found = open_commands_.find(id);
+  if (found == open_commands_.end()) return std::nullopt;
+  OpenCommand open = std::move(found->second);
+  open_commands_.erase(found);
   return open;
 }
 
--- a/src/coordination/leader/direct_commands.hpp
+++ b/src/coordination/leader/direct_commands.hpp
@@ -35,7 +35,7 @@
 class DirectCommands {
  public:
   /// What the leader knew of a machine when it sent a command there.
-  struct Open {
+  struct OpenCommand {
     std::string machine;
     std::uint64_t agent_epoch = 0;  // that the command was meant for
     // The newest heartbeat that the machine had sent to this leader; zero if there was none.
@@ -70,7 +70,7 @@
 
   /// An answer came, or surely none will: forgets the open command and returns it. Empty if it is not known,
   /// for instance from an earlier term.
-  std::optional<Open> close(std::uint64_t id);
+  std::optional<OpenCommand> close(std::uint64_t id);
   /// No valid answer came to a command. Probes the machine once more if it may be unreachable: its heartbeats
   /// arrive, but neither answers nor commands get there. Returns kUnreachable, once for each machine, when
   /// that is settled; then it should be cordoned. If it seemed true of many machines the fault would be this
@@ -86,7 +86,7 @@
   const bool launches_directly_;
   bookkeeping::TokenBucket budget_;
   std::uint64_t last_id_ = 0;  // never starts again, so that ids of earlier terms stay unknown
-  std::map<std::uint64_t, Open> open_;
+  std::map<std::uint64_t, OpenCommand> open_commands_;
   std::deque<std::string> to_probe_;
   std::size_t unreachable_ = 0;  // machines found unreachable in this term
 };
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -49,7 +49,7 @@
   const auto shown = tasks_shown(heartbeat);
   placements_.set_unknown_tasks(machine, {});
   machine.clears.clear();
-  std::set<TaskId> settled;
+  std::set<TaskId> ended_tasks;
   const std::set<TaskId> known = machine.tasks;
   for (const auto& id : known) {
     Job* job = context_.jobs.find(id.job);
@@ -60,9 +60,9 @@
     if (entry == shown.end() || entry->second->attempt != found->second.attempt)
       handle_missing_run(machine, *job, id.index, {agent_restarted, source});
     else if (update_reported_run(machine, *job, id.index, *entry->second))
-      settled.insert(id);
+      ended_tasks.insert(id);
   }
-  handle_unmatched_tasks(machine, shown, settled);
+  handle_unmatched_tasks(machine, shown, ended_tasks);
   for (const auto& task : heartbeat.tasks) {
     // The second entry of a task that stands twice.
     if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
@@ -113,11 +113,11 @@
   // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
   // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
   // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
-  const bool settled = run.direct ? machine.agent_epoch > run.launch_agent_epoch
-                                  : context.source == HeartbeatSource::kWorker &&
-                                        std::tie(machine.agent_epoch, machine.seq) >
-                                            std::tie(run.launch_agent_epoch, run.launch_seq);
-  if (!settled) return;
+  const bool launch_failed = run.direct ? machine.agent_epoch > run.launch_agent_epoch
+                                        : context.source == HeartbeatSource::kWorker &&
+                                              std::tie(machine.agent_epoch, machine.seq) >
+                                                  std::tie(run.launch_agent_epoch, run.launch_seq);
+  if (!launch_failed) return;
   if (!run.direct) {
     record_undelivered(machine, 1);
     job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
@@ -160,9 +160,9 @@
 
 // Tasks that are no runs of ours: an earlier leader's, or old attempts.
 void Scheduler::handle_unmatched_tasks(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
-                                       const std::set<TaskId>& settled) {
+                                       const std::set<TaskId>& ended_tasks) {
   for (const auto& [id, task] : shown) {
-    if (settled.contains(id)) continue;
+    if (ended_tasks.contains(id)) continue;
     if (const Job* job = context_.jobs.find(id.job)) {
       const auto run = job->runs.find(id.index);
       if (run != job->runs.end() && run->second.machine == machine.name &&
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -25,7 +25,7 @@
     machines.lay_out_by_size(context_.settings.value_bytes() - c::kValueSlackBytes, election_.term());
   machines.assign_records();
   const double now = context_.now.steady;
-  const double pause = urgent_pause();
+  const double pause = urgent_write_interval_s();
   for (auto& [name, group] : machines.groups()) {
     if (group.writing || !group.leaving.empty()) continue;
     const bool due = group.urgent || group.outdated || MachineLedger::deletable(group);
@@ -39,7 +39,7 @@
 
 // Seconds between two writes of one record. The more records wait, the more changes go into each write:
 // completions and submissions need writes too.
-double MachineRecordWriter::urgent_pause() const {
+double MachineRecordWriter::urgent_write_interval_s() const {
   const auto& groups = context_.machines.groups();
   const auto urgent = std::count_if(groups.begin(), groups.end(), [](const auto& entry) {
     return entry.second.urgent && entry.second.leaving.empty();
@@ -56,11 +56,11 @@
   for (const auto& member : launchable) record.launchable_addrs[member] = machines.find(member)->addr;
   for (const auto& member : group.members)
     if (Machine* machine = machines.find(member); machine != nullptr && machine->state != MachineState::kGone)
-      record.named.push_back(member);
+      record.machine_names.push_back(member);
   const auto urgency = group.urgent ? WriteClass::kFleet : WriteClass::kTidy;
   group.urgent = false;
   group.outdated = false;
-  if (record.named.empty() && group.mod_revision == 0) return;
+  if (record.machine_names.empty() && group.mod_revision == 0) return;
   group.writing = true;
   group.last_write = context_.now.steady;
   // Until the answer is known either version may be on record, so only what both name counts as recorded.
@@ -69,7 +69,7 @@
         machine != nullptr && !record.launchable_addrs.contains(member))
       machine->recorded = false;
   WriteOp op{MachineLedger::group_key(name), group.mod_revision, std::move(value)};
-  if (record.named.empty()) op.value.reset();
+  if (record.machine_names.empty()) op.value.reset();
   context_.writer.submit(
       {std::move(op)},
       [this, record = std::move(record), generation = generation_](WriteOutcome outcome,
@@ -88,8 +88,8 @@
     group.urgent = true;
     return;
   }
-  group.mod_revision = record.named.empty() ? 0 : mod_revision;
-  for (const auto& member : record.named)
+  group.mod_revision = record.machine_names.empty() ? 0 : mod_revision;
+  for (const auto& member : record.machine_names)
     if (Machine* machine = context_.machines.find(member))
       context_.machines.on_record(*machine, record.group);
   for (const auto& [member, addr] : record.launchable_addrs) {
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -39,11 +39,11 @@
   // What a write in progress will have put on record.
   struct PendingRecord {
     std::string group;
-    std::vector<std::string> named;                       // all machines that the record names
+    std::vector<std::string> machine_names;               // all machines that the record names
     std::map<std::string, std::string> launchable_addrs;  // of them those on which tasks may be launched
   };
 
-  double urgent_pause() const;
+  double urgent_write_interval_s() const;
   void write(const std::string& name, bookkeeping::MachineGroup& group);
   void finish(const PendingRecord& record, bookkeeping::WriteOutcome outcome, std::uint64_t mod_revision);
 
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -153,7 +153,7 @@
     if (job->state == JobState::kWaiting) waiting.push_back(job.get());
   for (Job* job : waiting)
     if (job->state == JobState::kWaiting) dependencies_.watch(*job);
-  if (dependencies_.release_decided()) return finish_loading();
+  if (dependencies_.release_states_known()) return finish_loading();
   loading_dependencies_ = true;
 }
 
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -92,7 +92,7 @@
 void Scheduler::update_tiers() {
   if (context_.now.steady < next_tiers_) return;
   next_tiers_ = context_.now.steady + c::kTiersEveryS;
-  dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
+  dependencies_.inherit_priorities([this](const Job& job) { return queue_order_.expected_duration(job); });
   assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
 }
 
@@ -117,7 +117,7 @@
   if (phase_ == LeaderPhase::kLoading) {
     if (!loading_dependencies_) return;
     dependencies_.tick();
-    if (!dependencies_.release_decided()) return;
+    if (!dependencies_.release_states_known()) return;
     finish_loading();
   }
   direct_.refill_budget();
@@ -139,7 +139,7 @@
     next_sweep_ = now + c::kSweepEveryS;
     unreconciled_.charge_quota_if_changed();
     sweep_jobs();
-    change_log_.delete_uncollected();
+    change_log_.retry_deletions();
   }
   if (phase_ == LeaderPhase::kServing) {
     // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -78,7 +78,7 @@
   ChangeLog& change_log() { return change_log_; }
   JobLookup& lookup() { return lookup_; }
   /// What memory says of jobs that wait for others is all that the records say.
-  bool dependencies_settled() const { return dependencies_.settled(); }
+  bool dependencies_settled() const { return dependencies_.all_states_known(); }
   /// Answers about jobs may come from this in-memory state.
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
@@ -184,7 +184,7 @@
   void on_run_started(bookkeeping::Machine& machine, bookkeeping::Job& job, bookkeeping::TaskRun& run);
   void handle_unmatched_tasks(bookkeeping::Machine& machine,
                               const std::map<protocol::TaskId, const protocol::TaskStatus*>& shown,
-                              const std::set<protocol::TaskId>& settled);
+                              const std::set<protocol::TaskId>& ended_tasks);
   void confirm_reservations(bookkeeping::Machine& machine);
   void serve_machine(std::uint64_t key, bookkeeping::Machine& machine);
   void answer_heartbeat(bookkeeping::Machine& machine, std::uint64_t key);
--- a/tests/coordination/dependencies_test.cpp
+++ b/tests/coordination/dependencies_test.cpp
@@ -71,15 +71,15 @@
 // It may have been released, and run, under an earlier leader: nothing is decided before the record is read.
 TEST_F(WaitingJobs, AReleaseIsUndecidedUntilTheRecordOfAnUnknownDependencyIsRead) {
   Job& job = add(kSecond, {kFirst});
-  EXPECT_FALSE(dependencies.release_decided());
-  EXPECT_FALSE(dependencies.settled());
+  EXPECT_FALSE(dependencies.release_states_known());
+  EXPECT_FALSE(dependencies.all_states_known());
   step();
   answer(JobLedger::live_key(kFirst), 404);
-  EXPECT_FALSE(dependencies.release_decided());
+  EXPECT_FALSE(dependencies.release_states_known());
   answer(JobLedger::final_key(kFirst), 200, R"({"over":"d"})");
   EXPECT_EQ(ready, std::vector<JobId>{kSecond});
-  EXPECT_TRUE(dependencies.release_decided());
-  EXPECT_TRUE(dependencies.settled());
+  EXPECT_TRUE(dependencies.release_states_known());
+  EXPECT_TRUE(dependencies.all_states_known());
   EXPECT_TRUE(job.before);
 }
 
@@ -87,7 +87,7 @@
   add(kSecond, {kFirst});
   step();
   answer(JobLedger::live_key(kFirst), 503);
-  EXPECT_FALSE(dependencies.release_decided());
+  EXPECT_FALSE(dependencies.release_states_known());
   EXPECT_TRUE(ready.empty());
   step();
   answer(JobLedger::live_key(kFirst), 404);
@@ -99,8 +99,8 @@
 TEST_F(WaitingJobs, AJobWithALiveDependencyWasNeverReleased) {
   add(kFirst, {});
   Job& job = add(kThird, {kFirst, kSecond});
-  EXPECT_TRUE(dependencies.release_decided());
-  EXPECT_FALSE(dependencies.settled());
+  EXPECT_TRUE(dependencies.release_states_known());
+  EXPECT_FALSE(dependencies.all_states_known());
   EXPECT_FALSE(job.before);
 }
 
@@ -109,9 +109,9 @@
   step();
   answer(JobLedger::live_key(kFirst), 404);
   answer(JobLedger::final_key(kFirst), 404);
-  EXPECT_TRUE(dependencies.release_decided());
+  EXPECT_TRUE(dependencies.release_states_known());
   EXPECT_TRUE(ready.empty());
-  EXPECT_FALSE(dependencies.settled());
+  EXPECT_FALSE(dependencies.all_states_known());
 }
 
 TEST_F(WaitingJobs, OneThatAnotherControllerAdmittedIsReadIntoTheLedger) {
@@ -127,7 +127,7 @@
   first.done.resize(1);
   answer(JobLedger::live_key(kFirst), 200, json::serialize(JobLedger::record(first, 2048, whole)));
   EXPECT_EQ(admitted, std::vector<JobId>{kFirst});
-  EXPECT_FALSE(dependencies.settled());
+  EXPECT_FALSE(dependencies.all_states_known());
 }
 
 TEST_F(WaitingJobs, EndsThatAreKnownAlreadyCountAtOnce) {
@@ -148,7 +148,7 @@
   first.spec.priority = second.spec.priority = other.spec.priority = Priority::kLow;
   third.spec.priority = Priority::kHigh;
   third.spec.deadline_s = 100;
-  dependencies.inherit([](const Job&) { return kDurationS; });
+  dependencies.inherit_priorities([](const Job&) { return kDurationS; });
   EXPECT_EQ(first.priority(), Priority::kHigh);
   EXPECT_EQ(second.priority(), Priority::kHigh);
   EXPECT_EQ(other.priority(), Priority::kLow);
@@ -156,7 +156,7 @@
   EXPECT_DOUBLE_EQ(first.inherited_due_ms, third.due_ms() - 2 * kDurationS * 1000);
   // What was inherited ends with the job that it came from.
   dependencies.finished(kThird, FinalState::kCancelled);
-  dependencies.inherit([](const Job&) { return kDurationS; });
+  dependencies.inherit_priorities([](const Job&) { return kDurationS; });
   EXPECT_EQ(first.priority(), Priority::kLow);
 }
 
