--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -22,9 +22,9 @@
       job.cancelled_ms > 0 ? std::max(0.0, (context_.now.wall_ms - job.cancelled_ms) / 1000.0) : 0.0;
   const double cancelled_at = now - age_s;
   double deadline = cancelled_at + patience;
-  // A new leader hears of old cancellations: each machine first gets the time of a round, or what is left of
-  // the time that the cancellation has. All of them were once given back in the moment when the ledger was
-  // read.
+  // A new leader finds old cancellations in the ledger. It gives each machine time for two heartbeats,
+  // limited to what is left of the time that the cancellation allows. Without this, all of these machines
+  // were once returned at the moment when the ledger was read.
   if (machine.unreconciled || machine.unanswered_since_ms) {
     const double round_end =
         leader_since + 2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
--- a/src/coordination/leader/cancelled_work.hpp
+++ b/src/coordination/leader/cancelled_work.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Work of cancelled jobs that may still be on machines. docs/design.md, section "Cancellations".
+/// Tasks of cancelled jobs that may still be on machines. docs/design.md, section "Cancellations".
 #pragma once
 
 #include <set>
@@ -9,20 +9,21 @@
 
 namespace robinford::coordination {
 
-/// Keeps a deadline for each machine that may hold tasks of a cancelled job (`Machine::overdue`): by then a
-/// heartbeat has to show that they are gone, or the machine is returned. A machine that hangs would otherwise
-/// keep cancelled work for longer than `cancel_s` allows.
+/// Keeps a deadline for each machine that may hold tasks of a cancelled job (`Machine::overdue`). The machine
+/// is returned if no heartbeat shows by then that the tasks are gone. Otherwise a hung machine could keep
+/// cancelled work for longer than `cancel_s` allows.
 class CancelledWork {
  public:
   /// `context` must outlive the object.
   explicit CancelledWork(ControllerContext& context) : context_(context) {}
 
   void clear() { machines_.clear(); }
-  /// Tasks of the cancelled job may be on the machine. `leader_since`: steady time at which this term began.
+  /// Sets the deadline for tasks of the cancelled job on the machine, unless there is one already.
+  /// `leader_since`: steady time at which this term began.
   void track(bookkeeping::Machine& machine, const bookkeeping::Job& job, double leader_since);
-  /// After a heartbeat: drops the deadlines of jobs that have no task on the machine any more.
+  /// Drops, after a heartbeat, the deadlines of jobs that have no task left on the machine.
   void update(bookkeeping::Machine& machine);
-  /// The machine itself is gone.
+  /// Drops the deadlines of a machine that is gone.
   void forget(bookkeeping::Machine& machine);
 
   /// Whether a deadline of the machine has passed.
@@ -32,7 +33,7 @@
 
  private:
   ControllerContext& context_;
-  std::set<std::string> machines_;  // those with a deadline
+  std::set<std::string> machines_;  // names of those with a deadline
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto& kPrefix = bookkeeping::kChangeLogPrefix;
 
-// The job that an entry is about: keys are "n/JOB.INCARNATION.SEQUENCE".
+// Returns the job of an entry from its key, which has the form "n/JOB.INCARNATION.SEQUENCE".
 std::optional<JobId> job_of_key(const std::string& key) {
   const auto slash = key.rfind('/');
   const auto dot = key.find('.');
@@ -62,8 +62,9 @@
   for (const auto& done : waiting) done(false);
 }
 
-// What is there before the jobs are read needs no other attention. The watch begins where the first page was
-// made, so no entry is missed; after a restart of all controllers there may be more than one page.
+// Entries that exist before the jobs are read are only deleted, since the job records already contain their
+// changes. The watch starts at the revision of the first page, so no later entry is missed. After a restart
+// of all controllers there may be more than one page.
 void ChangeLog::load(const std::string& after, std::uint64_t watch_from, Done done) {
   context_.state.list(kPrefix, after,
                       [this, after, watch_from, done = std::move(done),
@@ -86,8 +87,9 @@
                          for (const auto& event : result.events) handle_event(event);
                          if (result.complete()) return watch(std::max(after, result.revision));
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
-                           return events_.entries_missed();  // what happened meanwhile is unknown
-                         // No answer: pause by way of a read, then watch on from the same place.
+                           return events_.entries_missed();  // the changes since then are unknown
+                         // No answer: waits for a read to complete, then watches again from the same
+                         // revision.
                          context_.state.read(
                              bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
@@ -108,8 +110,8 @@
   delete_entry(event.key, event.mod_revision);
 }
 
-// An entry that can't be deleted now, since too much waits to be written, is tried again: what is left lying
-// would be read by every leader after this one.
+// Deletes an entry. A deletion that is refused because too many writes are queued is retried later, since a
+// remaining entry would be read by every later leader.
 void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
   context_.writer.submit(
       {{key, mod_revision, std::nullopt}},
@@ -152,8 +154,8 @@
   read("");
 }
 
-// Reads on from the entry `after`. What the whole read shows proves up to when all that others wrote is known
-// here. The entries are deleted by way of the watch.
+// Reads the log from the entry `after` on. A complete read proves up to which time all cancellations by other
+// controllers are known here. The entries are deleted when the watch reports them.
 void ChangeLog::read(const std::string& after) {
   context_.state.list(kPrefix, after,
                       [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The change log: what controllers other than the leader wrote about jobs, one entry for each change, in the
-/// state service. An entry is written in the same transaction as the change that it records. Only the leader
-/// deletes entries, after it has acted on them.
+/// The change log in the state service: one entry for each change that a controller other than the leader
+/// wrote about a job. An entry is written in the same transaction as the change that it records. Only the
+/// leader deletes entries, after it has acted on them.
 #pragma once
 
 #include <functional>
@@ -13,13 +13,13 @@
 
 namespace robinford::coordination {
 
-/// The leader's reader of the change log. It watches for entries, and reads the whole log about once a
-/// second, since a watch that the service refused goes unnoticed while a read proves what there is. Requests
-/// that need proof get a read at once. Owns the entries that are still to be deleted. Answers that belong to
-/// an earlier term of leadership are ignored.
+/// The leader's reader of the change log. It watches for entries, and also reads the whole log about once a
+/// second: a watch that the service refused goes unnoticed, while a read shows which entries exist. Requests
+/// that need such a proof start a read as soon as the rate limit allows. Owns the list of entries whose
+/// deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
 class ChangeLog {
  public:
-  /// What the leader has to act on.
+  /// Callbacks for the changes on which the leader acts.
   struct Events {
     std::function<void(protocol::JobId)> cancelled;  // another controller made a cancellation durable
     std::function<void(protocol::JobId)> changed;    // another controller admitted the job
@@ -31,21 +31,22 @@
   /// The references must outlive the reader.
   ChangeLog(ControllerContext& context, const Election& election, Events events);
 
-  /// For a new leader, before it reads the jobs: deletes what is there and watches from there on. If the log
-  /// could not be read, this may be called again.
+  /// Called by a new leader before it reads the jobs: deletes the existing entries and watches for new ones.
+  /// May be called again if the log could not be read.
   void begin(Done done);
-  /// This controller is not the leader any more: all requests that wait are answered with failure.
+  /// Called when this controller is no longer the leader: all waiting requests fail.
   void end();
   /// Starts the regular read when it is due.
   void tick();
-  /// Deletes entries that were acted on, while the writer is quiet.
+  /// Retries refused deletions of entries while the writer has few writes queued.
   void retry_deletions();
 
-  /// Calls `done` after a read of the whole log that began after this call. All that wait share one read, so
-  /// a flood of requests costs the state service no more than a few reads a second.
+  /// Calls `done` after a read of the whole log that began after this call. All waiting requests share one
+  /// read, so a flood of requests costs the state service no more than a few reads a second.
   void after_fresh_read(Done done);
 
-  /// The entry that goes into the transaction of a change. `sequence` makes the key unique in this process.
+  /// Returns the entry to be written in the transaction of a change. `sequence` makes the key unique in this
+  /// process.
   static bookkeeping::WriteOp entry(protocol::JobId id, std::uint64_t incarnation, std::uint64_t sequence,
                                     bool cancelled);
 
@@ -65,12 +66,12 @@
   ControllerContext& context_;
   const Election& election_;
   Events events_;
-  std::uint64_t generation_ = 0;  // of leadership: answers to calls of an earlier one are ignored
+  std::uint64_t generation_ = 0;  // counts terms, to ignore answers that belong to an earlier one
   bool reading_ = false;
   double read_began_ = 0;                    // s, steady
-  std::vector<Done> waiting_for_next_read_;  // requests that came after the open read began
+  std::vector<Done> waiting_for_next_read_;  // requests that arrived after the current read began
   std::vector<Done> waiting_for_current_read_;
-  std::vector<StoredEntry> failed_deletions_;  // still to be deleted
+  std::vector<StoredEntry> failed_deletions_;  // to be deleted once more
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -39,7 +39,7 @@
       finished(dependency, *state);
       if (!graph_.waits(id)) return;
     } else if (known_unfinished(dependency)) {
-      // It was never released, so no earlier leader can have placed anything of it.
+      // The job was never released, so no earlier leader can have placed any task of it.
       job.before = false;
     } else {
       unknown_.insert(dependency);
@@ -82,7 +82,7 @@
   lookup_.own_records(id, [this, id, generation = generation_](const JobLookup::Known& known) {
     if (generation != generation_) return;
     reading_.erase(id);
-    // More may wait for their turn: no pause while answers come.
+    // More dependencies may be waiting to be read, so there is no pause while answers arrive.
     if (known.what != JobLookup::Known::What::kUnknown) next_read_ = context_.now.steady;
     switch (known.what) {
       case JobLookup::Known::What::kFinal:
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-// By heartbeats a gang waits for two of them, one that confirms its reservations and one whose answer
-// launches. That is worth a connection for each launch where it takes a good part of the shortest start that
-// users expect.
+// Through heartbeats, the start of a gang takes two of them: one that confirms its reservations and one whose
+// answer carries the launch. A direct command costs a connection for each launch. That is worthwhile if two
+// heartbeats take a large part of the shortest start that users expect.
 bool launches_directly(const protocol::Settings& settings) {
   double shortest = c::kDirectDefaultWaitS;
   for (const auto& objective : settings.objectives)
@@ -78,7 +78,8 @@
     if (machine == nullptr || !machine->unreconciled) continue;
     const bool just_probed =
         machine->open_probes > 0 || context_.now.steady - machine->last_probe_at < c::kProbeAgainS;
-    // One that was just answered with our token sends another heartbeat by itself, to show it.
+    // A machine that was just answered with this leader's token sends another heartbeat on its own, which
+    // carries the token.
     const bool about_to_show_token =
         machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kShowTokenS;
     if (just_probed || about_to_show_token)
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: launches and stops that go out as direct commands, and what the answers to direct commands
-/// prove. docs/design.md, section "Direct launches".
+/// Scheduler: sends launches and stops as direct commands, and evaluates the answers. docs/design.md, section
+/// "Direct launches".
 #include <spdlog/spdlog.h>
 
 #include <tuple>
@@ -23,8 +23,8 @@
 using protocol::TaskId;
 
 namespace {
-// Statuses of a worker's own answers to commands. Any other comes from something in between, or means that
-// there was no answer.
+// Statuses that a worker itself returns for commands. Any other status comes from an intermediary or means
+// that there was no answer.
 constexpr int kAccepted = 200;
 constexpr int kRefused = 409;
 }  // namespace
@@ -49,14 +49,15 @@
                                                            std::tie(open->known_agent_epoch, open->known_seq);
   if (counters_went_back) return return_reset_machine(*machine);
   if (heartbeat->fencing_token == election_.term()) return direct_command_answered(*machine, *heartbeat);
-  // It refused because its agent epoch was not the one that we guessed, and so did not learn our token.
+  // The worker refused the command because it was addressed to another agent epoch, so the worker has not
+  // learned this leader's token.
   if (status == kRefused && heartbeat->agent_epoch != open->agent_epoch) direct_.probe(*machine);
 }
 
 void Scheduler::direct_command_failed(Machine& machine) {
   if (direct_.record_failure(machine) == DirectCommands::Reachability::kUnreachable)
     cordon(machine, "unreachable: its heartbeats arrive, answers and commands do not");
-  // A gang must not wait for the capacity of a machine that does not answer.
+  // Gangs must not wait for capacity on a machine that does not answer.
   const double avoid_until =
       context_.now.steady + c::kReservationHeartbeats * context_.settings.heartbeat_interval_s;
   for (const auto id : machine.reservations)
@@ -65,23 +66,24 @@
   requeue_gangs_reserving_on(machine);
 }
 
-// The worker's answer shows our token: it is as good as a heartbeat, except that a launch in the answer to
-// the last real heartbeat may still be on its way.
+// Applies a worker's answer that carries this leader's token. It proves as much as a heartbeat, except that a
+// launch in the answer to the worker's last own heartbeat may still be in flight.
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
   if (!machine.saw_term || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
     apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
   if (may_place()) check_reserving_gangs(machine);
 }
 
-// Its counters began anew while we knew it: whatever was on it is gone, and a launch for the agent epoch of
-// the same number may still come. Only the cloud's confirmation of its return settles that.
+// The agent's counters went back while this leader knew the machine, so the agent was reset: its tasks are
+// gone, but a launch for an agent epoch of the same number may still arrive. Only the cloud's confirmation of
+// the machine's return rules that out.
 void Scheduler::return_reset_machine(Machine& machine) {
   machine.agent_reset = true;
   spdlog::info("machine {}: its agent was reset, the machine is returned", machine.name);
   MachineLedger::set_state(machine, MachineState::kReturning);
 }
 
-// The gangs that reserve capacity on the machine look for other capacity.
+// Releases the reservations of gangs that wait for capacity on the machine, and queues the gangs again.
 void Scheduler::requeue_gangs_reserving_on(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: releasing changes the list
   for (const auto id : holders) {
@@ -92,7 +94,8 @@
   }
 }
 
-// After proof of the machine: launches each gang whose last reservation is confirmed by it.
+// Checks the gangs with reservations on the machine, and launches those whose reservations are now all
+// confirmed.
 void Scheduler::check_reserving_gangs(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: launching changes the list
   for (const auto id : holders)
@@ -119,7 +122,8 @@
   if (!commands.empty()) direct_.send(machine, std::move(commands));
 }
 
-// Stops also go straight to the machines: a late one does no harm, since attempts are never used twice.
+// Sends stops as direct commands, in addition to heartbeat answers. A late stop is harmless, since attempt
+// numbers are never reused.
 void Scheduler::send_stops() {
   if (!election_.owns_fencing_token()) return;
   const double now = context_.now.steady;
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: what a worker's heartbeat proves about runs, reservations and unknown tasks. docs/design.md,
-/// section "What was added", "Evidence".
+/// Scheduler: updates runs, reservations and unknown tasks from the state that a worker reports in a
+/// heartbeat. docs/design.md, section "What was added", "Evidence".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -30,7 +30,8 @@
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 
-// Each task once. Should one stand twice, the live attempt is the one that matters.
+// Maps each task to its status in the heartbeat. If a task is listed twice, the attempt that has not exited
+// takes precedence.
 std::map<TaskId, const TaskStatus*> tasks_shown(const Heartbeat& heartbeat) {
   std::map<TaskId, const TaskStatus*> shown;
   for (const auto& task : heartbeat.tasks) {
@@ -41,7 +42,7 @@
 }
 }  // namespace
 
-// What a newer heartbeat of a machine proves, once it shows our token.
+// Applies a heartbeat that carries this leader's fencing token and is newer than any applied before.
 void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, HeartbeatSource source) {
   const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
   if (agent_restarted) on_agent_restart(machine);
@@ -64,7 +65,7 @@
   }
   handle_unmatched_tasks(machine, shown, ended_tasks);
   for (const auto& task : heartbeat.tasks) {
-    // The second entry of a task that stands twice.
+    // For a task that is listed twice, clears the exited entry that was not used above.
     if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
   }
   confirm_reservations(machine);
@@ -72,14 +73,15 @@
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
-  // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
+  // The agent's lease expired although its last heartbeat was answered less than half a lease ago: the
+  // answers do not reach the machine.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
     record_undelivered(machine, c::kUndeliveredMost);
-  // Commands for the old agent epoch are refused from now on.
+  // The worker refuses commands that are addressed to the previous agent epoch.
   machine.direct.clear();
 }
 
-// Address, type, zone, kind, counters and notice.
+// Updates the address, type, zone, spot flag, heartbeat counters and interruption notice.
 void Scheduler::update_machine_attributes(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
   if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
@@ -97,22 +99,24 @@
                                 ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
                                 : std::nullopt;
   if (machine.interruption_at && !had_interruption_notice)
-    spdlog::info("machine {}: interruption notice, {:.0f} s left", machine.name,
+    spdlog::info("machine {}: received an interruption notice, {:.0f} s left", machine.name,
                  *heartbeat.interruption_notice_s);
 }
 
-// A run of ours that the heartbeat does not show.
+// Handles a run in the ledger that the heartbeat does not list, or lists with another attempt.
 void Scheduler::handle_missing_run(Machine& machine, Job& job, std::uint32_t index,
                                    const HeartbeatContext& context) {
   const TaskRun& run = job.runs.at(index);
   if (run.state == RunState::kPlanned) return;
   if (run.seen)
     return drop_lost_run(job, index,
-                         context.agent_restarted ? "its machine began a new agent epoch"
-                                                 : "it is not on its machine any more");
-  // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
-  // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
-  // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
+                         context.agent_restarted ? "the agent on its machine started a new epoch"
+                                                 : "its machine no longer reports it");
+  // No heartbeat has listed the run yet. A direct launch may still be carried out while the agent epoch that
+  // it was addressed to lasts. A launch in a heartbeat answer has failed once the worker itself sends a
+  // heartbeat newer than the answered one, because the worker takes or discards an answer before it sends its
+  // next heartbeat. The answer to a direct command does not prove this, since the launch may still be in
+  // flight.
   const bool launch_failed = run.direct ? machine.agent_epoch > run.launch_agent_epoch
                                         : context.source == HeartbeatSource::kWorker &&
                                               std::tie(machine.agent_epoch, machine.seq) >
@@ -122,13 +126,13 @@
     record_undelivered(machine, 1);
     job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
   }
-  drop_lost_run(job, index, "the launch did not arrive");
+  drop_lost_run(job, index, "the launch did not reach its machine");
 }
 
-// A run of ours, as the heartbeat shows it. True: it has ended.
+// Updates a run from its status in the heartbeat. Returns true if the run has exited.
 bool Scheduler::update_reported_run(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) {  // it took a command
+  if (!run.seen) {  // the launch reached the machine
     machine.undelivered = 0;
     machine.probe_failures = 0;
   }
@@ -153,12 +157,14 @@
   if (job.first_start != 0) return;
   job.first_start = now;
   const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
-  if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
+  if (job.spec.gang)
+    spdlog::debug("gang {}: its first task runs {:.1f} s after submission", name_of(job), waited);
   context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
                           std::max(0.0, waited));
 }
 
-// Tasks that are no runs of ours: an earlier leader's, or old attempts.
+// Handles listed tasks that match no run in the ledger, such as tasks launched by an earlier leader and old
+// attempts.
 void Scheduler::handle_unmatched_tasks(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
                                        const std::set<TaskId>& ended_tasks) {
   for (const auto& [id, task] : shown) {
@@ -173,8 +179,8 @@
   }
 }
 
-// An attempt that a direct command started stays listed: the command may come once more, and would start it
-// again.
+// Queues a clear command for an exited task. An attempt that was launched by a direct command is not cleared,
+// because a duplicate of that command could then start it again.
 void Scheduler::queue_clear(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
@@ -214,7 +220,7 @@
   if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
 }
 
-// A result counts whoever started the task. The tasks of a gang complete together.
+// Records a completed task, whichever leader launched it. All tasks of a gang complete together.
 void Scheduler::record_result(Job& job, std::uint32_t index) {
   if (job.spec.gang) {
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) job.mark_done(i);
@@ -261,7 +267,7 @@
   if (job.state == JobState::kActive) record_result(job, index);
 }
 
-// Where and when the job is tried again after one of its tasks ended without a result.
+// Sets which machine the job avoids and how long it backs off after one of its tasks ended without a result.
 void Scheduler::delay_next_attempt(Machine& machine, Job& job, ExitReason reason) {
   const double now = context_.now.steady;
   switch (reason) {
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: which heartbeats are answered, and what their answers carry.
+/// Scheduler: decides which heartbeats are answered and builds the commands for the answers.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -22,11 +22,11 @@
 using protocol::Command;
 using protocol::Heartbeat;
 
-// Whether this controller may answer a heartbeat that shows the token; if not, the heartbeat is answered
-// here.
+// Returns whether this controller may answer a heartbeat that carries `fencing_token`. If not, rejects the
+// heartbeat with status 421.
 bool Scheduler::authorize_heartbeat(std::uint64_t key, std::uint64_t fencing_token) {
   if (fencing_token > election_.term()) {
-    // Somebody newer leads: the worker must move on at once, while its lease still runs.
+    // A newer leader exists. The worker must switch to it at once, while its lease is still valid.
     election_.higher_term_seen(fencing_token);
     actions_.answer(key, 421, {});
     return false;
@@ -51,19 +51,23 @@
   }
   if (machine->state == MachineState::kGone) return actions_.answer(key, 503, {});
   if (machine->unanswered_since_ms || machine->unanswered_on_record) {
-    // Its lease is not renewed before its record allows it. It sends another heartbeat about a second later.
+    // The lease must not be renewed while a durable record may say that the machine is not answered, because
+    // the next leader computes the end of the lease from that record. The worker retries about a second
+    // later.
     context_.machines.clear_unanswered(*machine);
     return actions_.answer(key, 503, {});
   }
   if (machine->saw_term && (heartbeat.fencing_token < election_.term() ||
                             !MachineLedger::newer(*machine, heartbeat.agent_epoch, heartbeat.seq))) {
-    // A late copy: it renews nothing. Or the machine was reset, which only a probe can tell.
+    // Either a delayed or duplicate heartbeat, which must not renew the lease, or the agent was reset and its
+    // counters restarted. Only a probe can tell the two cases apart.
     probe_if_suspect(*machine);
     return actions_.answer(key, 503, {});
   }
   if (heartbeat.fencing_token < election_.term()) {
-    // It may be a copy from long ago, and an earlier leader's launch may still be on its way: it proves
-    // nothing. Our token in the answer ends both, and its next heartbeat shows it.
+    // The heartbeat may be an old duplicate, and a launch by an earlier leader may still be in flight, so its
+    // task list is not used. Once the worker has received this leader's fencing token in the answer, neither
+    // is possible, and its next heartbeat carries the token.
     record_stale_term_heartbeat(*machine, heartbeat);
     machine->last_answer = context_.now.steady;
     return actions_.answer(key, 200, {});
@@ -82,8 +86,7 @@
       machine->unanswered_since_ms || machine->unanswered_on_record || !machine->clears.empty() ||
       !machine->unknown_tasks.empty())
     return false;
-  // A launch that was in flight is settled by a heartbeat that does not show it, so those are looked at in
-  // full.
+  // Only a full heartbeat can show that a launch in flight has failed, by not listing the task.
   for (const auto& id : machine->tasks)
     if (const Job* job = context_.jobs.find(id.job);
         job == nullptr || job->runs.at(id.index).state == RunState::kLaunched)
@@ -96,10 +99,10 @@
   return true;
 }
 
-// The machine's own heartbeat may carry work in its answer.
+// Answers a heartbeat, after placing tasks on the machine so that the answer can carry their launches.
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
-    // The heartbeat that confirms the last reservation of a gang carries the launch in its own answer.
+    // If this heartbeat confirms the last reservation of a gang, its answer can already carry the launch.
     check_reserving_gangs(machine);
     fill(machine);
   }
@@ -122,11 +125,12 @@
     set_capacity_from_catalog(machine);
   }
   if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
-  // It was answered with our token again and again and still does not show it: our answers don't reach it.
+  // The machine was answered with this leader's token several times and still does not send it, so the
+  // answers probably do not reach the machine.
   if (++machine.unproven_answers >= c::kUnprovenMost) probe_if_suspect(machine);
 }
 
-// Liveness: only a newer heartbeat of the machine counts.
+// Records that the machine is alive. Called only for heartbeats that are newer than the last one applied.
 void Scheduler::record_liveness(Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
   const double now = context_.now.steady;
   if (!machine.saw_term || machine.agent_epoch != agent_epoch) machine.agent_epoch_shown_at = now;
@@ -153,7 +157,8 @@
   round_wanted_ = true;
 }
 
-// The heartbeat is the evidence that reservations wait for: the capacity is still free.
+// Confirms the reservations that were made before this heartbeat arrived: it shows that the capacity is still
+// free.
 void Scheduler::confirm_reservations(Machine& machine) {
   for (const auto id : machine.reservations) {
     Job* job = context_.jobs.find(id);
@@ -184,7 +189,8 @@
   const auto has_space = [&] { return commands.size() < c::kCommandsMax; };
   for (const auto& unknown_task : machine.unknown_tasks)
     if (has_space()) commands.push_back({Command::Op::kStop, unknown_task.task, unknown_task.attempt, 0});
-  // Completions may be cleared before they are durable: a task that is started again ends at once, as done.
+  // Exited tasks may be cleared before their completions are durable: a completed task that is launched again
+  // ends at once as done.
   if (election_.valid()) {
     for (const auto& clear : machine.clears)
       if (has_space()) commands.push_back({Command::Op::kClear, clear.task, clear.attempt, 0});
@@ -194,15 +200,15 @@
     if (job == nullptr || !has_space()) continue;
     auto& run = job->runs.at(id.index);
     if (run.state == RunState::kStopping) {
-      // A direct launch that nobody answered may still come. Begun and ended here it stays listed as ended,
-      // and then does nothing. Of a job that is over nothing may begin: its machine is given up instead
-      // (watch_machines).
+      // An unanswered direct launch may still arrive. Launching and stopping the attempt here leaves it
+      // listed as exited, so that the late command has no effect. No task of a job that is over may be
+      // started, so its machine is returned instead (check_unanswered_launches).
       if (run.direct && !run.seen && !job->over())
         commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
       commands.push_back({Command::Op::kStop, id, run.attempt, run.stop_grace});
     } else if (run.state == RunState::kLaunched && run.direct && !run.seen && may_launch &&
                job->state == JobState::kActive) {
-      commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});  // the direct command may be lost
+      commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});  // in case the direct command was lost
     } else if (run.state == RunState::kPlanned && may_launch && job->state == JobState::kActive &&
                (!job->spec.gang || job->gang == GangState::kLaunching)) {
       commands.push_back({Command::Op::kLaunch, id, run.attempt, 0});
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: durable records of jobs, and how a job ends.
+/// Scheduler: reads and writes the durable records of jobs and handles the end of jobs.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -60,21 +60,22 @@
 
 void Scheduler::cancel(Job& job) {
   if (job.over()) return;
-  // Nothing of it starts from here on, whatever becomes of the write.
+  // From here on no task of the job is started, even if the write fails.
   JobLedger::set_state(job, JobState::kCancelling);
   write_final_record(job);
 }
 
-// Writes the final record of a job that is about to be over; called again until that is done.
+// Writes the final record of a job that is completing or being cancelled. Called repeatedly until the write
+// succeeds.
 void Scheduler::write_final_record(Job& job) {
   if (job.writing || (job.state != JobState::kCompleting && job.state != JobState::kCancelling)) return;
   const JobId id = job.spec.id;
   const FinalState state = job.state == JobState::kCompleting ? FinalState::kDone : FinalState::kCancelled;
   job.writing = true;
   if (state == FinalState::kCancelled && job.cancelled_ms == 0) job.cancelled_ms = context_.now.wall_ms;
-  // Of a job that is done nothing is left to run. The description of a cancelled one stays until nothing of
-  // it is on any machine, so that a new leader knows what else may be out there and whose limit it counts
-  // against.
+  // The live record of a completed job is deleted, as no task of it is left to run. The live record of a
+  // cancelled job keeps its description until none of its tasks can be on any machine, so that a new leader
+  // knows which tasks may still run and whose limit they count against.
   WriteOp live{JobLedger::live_key(id), job.mod_revision, std::nullopt};
   if (state == FinalState::kCancelled) {
     bool whole = true;
@@ -97,10 +98,11 @@
       });
 }
 
-// Called for every way in which this controller learns of the cancellation, and before its user gets an
-// answer, so that no answer from this in-memory state is older than that. Remembering the final state alone
-// would let the scheduler go on with the job. A degraded leader stops the tasks too: their machines go on
-// sending heartbeats to it. While the ledger is loading, settle_loaded_jobs does it.
+// Called whenever this controller learns of a cancellation by another controller, before the user who asked
+// gets an answer, so that no answer from this in-memory state predates the cancellation. Recording the final
+// state alone would let the scheduler continue with the job. A degraded leader stops the tasks too, because
+// their machines keep sending heartbeats to it. While the ledger is loading, settle_loaded_jobs does this
+// instead.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
@@ -108,14 +110,14 @@
   if (phase_ != LeaderPhase::kReconciling && phase_ != LeaderPhase::kServing) return;
   Job* job = context_.jobs.find(id);
   if (job != nullptr) finish_job(*job, FinalState::kCancelled);
-  // For the mod revision of its record, which is deleted in the end.
+  // Reads the live record for its mod revision, which its later deletion needs.
   if (!known || (job != nullptr && !job->marked)) read_job(id);
 }
 
 void Scheduler::read_job(JobId id) {
-  // A read that is open may have been answered before the write that this call is about: then once more after
-  // it. Otherwise a cancellation that was announced while the read of the admission was open would be
-  // overlooked, and its job would go on as pending.
+  // An open read may have been answered before the write that caused this call, so the record is read once
+  // more afterwards. Otherwise a cancellation that is announced while the read for the admission is open
+  // would be missed, and the job would stay pending.
   if (const auto open = reading_.find(id); open != reading_.end()) {
     open->second = OpenRead::kReadAgain;
     return;
@@ -131,7 +133,7 @@
   reading_.erase(id);
   if (kind == OpenRead::kReadAgain) return read_job(id);
   if (read.found == StateRead::Found::kUnknown) {
-    reread_.insert(id);  // not at once: an outage may be the reason
+    reread_.insert(id);  // retried by sweep_jobs, in case the state service is down
     return;
   }
   Job* job = context_.jobs.find(id);
@@ -144,9 +146,9 @@
   }
 }
 
-// The live record of a job that is in the ledger.
+// Updates a job of the ledger from its live record.
 void Scheduler::update_from_record(Job& job, const StateRead& read) {
-  if (read.mod_revision < job.mod_revision) return;  // answered before what we know of
+  if (read.mod_revision < job.mod_revision) return;  // older than the known record
   const bool cancelled = JobLedger::is_cancelled(read.value);
   job.mod_revision = read.mod_revision;
   job.marked = cancelled;
@@ -154,25 +156,25 @@
     job.cancelled_on_record = true;
     finish_job(job, FinalState::kCancelled);
   } else if (job.over() && job.final_state == FinalState::kCancelled) {
-    // Cancelled through a dependency: only that one's record says so.
+    // The job was cancelled through a dependency: only the dependency's record shows the cancellation.
     job.cancelled_on_record = job.state != JobState::kOver;
   }
   write_final_record(job);
 }
 
-// The live record of a job that another controller admitted.
+// Adds a job that another controller admitted from its live record.
 void Scheduler::add_from_record(JobId id, const StateRead& read) {
   auto fresh = JobLedger::from_record(read.value, read.mod_revision, context_.now.steady);
   if (!fresh || (context_.jobs.final_state(id) && !fresh->over())) return;
   auto& job = context_.jobs.all()[id];
   job = std::move(fresh);
   if (job->state == JobState::kOver)
-    context_.jobs.remember_final(id, job->final_state);  // cancelled before anything of it was placed
+    context_.jobs.remember_final(id, job->final_state);  // cancelled before any of its tasks was placed
   else
     on_job_added(*job);
 }
 
-// The job has no live record any more, so it should have a final one.
+// Reads the final record of a job whose live record no longer exists.
 void Scheduler::read_final_record(JobId id) {
   context_.state.read(JobLedger::final_key(id), [this, id, generation = generation_](const StateRead& read) {
     if (generation != generation_) return;
@@ -234,7 +236,8 @@
   queue_order_.mark_changed();
 }
 
-// Its clocks, but for the deadline, begin here.
+// Releases a job whose dependencies are all done. Its waiting time counts from here; its deadline does not
+// change.
 void Scheduler::release_waiting_job(Job& job) {
   JobLedger::set_state(job, JobState::kActive);
   job.spec.dependencies.clear();
@@ -247,14 +250,16 @@
   if (phase_ != LeaderPhase::kLoading) record_arrival(job);
 }
 
-// The record of what it needs says that it is cancelled. A record of its own makes that cheap to find, later.
+// Cancels a job because one of its dependencies was cancelled. The record of that dependency already implies
+// this; a final record of the job itself, which makes the cancellation cheap to look up, is written later.
 void Scheduler::cancel_waiting_job(Job& job) {
   if (job.over()) return;
   job.cancelled_on_record = false;
   finish_job(job, FinalState::kCancelled);
 }
 
-// Nothing of it was ever placed, so no leader needs its description.
+// Writes the final record of a job that was cancelled through a dependency and deletes its live record. No
+// task of the job was ever placed, so no leader needs its description.
 void Scheduler::write_derived_cancellation(Job& job) {
   const JobId id = job.spec.id;
   job.writing = true;
@@ -274,7 +279,8 @@
       WriteClass::kTidy);
 }
 
-// Progress is only a help to the next leader, so it waits for a quiet moment of the state service.
+// Writes the progress of a job. The record only saves the next leader work, so the write waits until few
+// others are queued.
 void Scheduler::write_progress(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
@@ -283,13 +289,14 @@
     write_job(job);
 }
 
-// Whether a machine shows tasks of the job, or may still hold some.
+// Returns whether a machine reports tasks of the job that match no run, or may still hold tasks of the job
+// after its cancellation.
 bool Scheduler::has_remaining_tasks(JobId id) {
   return placements_.unknown_task_shown(id) || cancelled_work_.may_remain(id);
 }
 
-// Jobs that are about to be over, progress worth writing, and jobs of which nothing is left. The record of
-// what is cancelled stays for a next leader while a machine may still hold it.
+// Retries unanswered reads and final records, writes progress, and erases jobs of which no task is left. The
+// record of a cancelled job is kept for the next leader while a machine may still hold its tasks.
 void Scheduler::sweep_jobs() {
   for (const auto id : std::exchange(reread_, {})) read_job(id);
   std::vector<JobId> gone;
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: machines that fail tasks or can't be reached take no more work.
+/// Scheduler: cordons machines that fail tasks or cannot be reached.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// A failed task speaks against its machine, its job, or both: a machine that fails different jobs is set
-// aside, a job that fails on different machines is tried ever more rarely.
+// A failed task may be the fault of its machine, its job, or both. A machine that fails tasks of different
+// jobs is cordoned; a job that fails on different machines is retried with an increasing backoff.
 void Scheduler::record_failure(Machine& machine, Job& job) {
   const double now = context_.now.steady;
   ++machine.errors;
@@ -36,10 +36,11 @@
   }
   const bool sick = static_cast<int>(machine.error_jobs.size()) >= c::kMachineSuspectErrors ||
                     (works_elsewhere && machine.errors > c::kMachineSuspectErrors);
-  spdlog::info("task of {} failed on {} ({} in a row there)", name_of(job), machine.name, machine.errors);
+  spdlog::info("a task of job {} failed on machine {} ({} failures in a row there)", name_of(job),
+               machine.name, machine.errors);
   if (sick && !machine.cordoned) {
-    cordon(machine, "it fails the tasks of different jobs");
-    stop_machine_tasks(machine, "machine cordoned");
+    cordon(machine, "tasks fail on it repeatedly");
+    stop_machine_tasks(machine, "its machine was cordoned");
   }
 }
 
@@ -50,8 +51,8 @@
   spdlog::info("machine {} is cordoned: {}", machine.name, why);
 }
 
-// Commands that newer heartbeats show were never taken. Whether the machine is unreachable is settled by a
-// probe.
+// Counts commands that newer heartbeats show were never received. A probe then decides whether the machine is
+// unreachable.
 void Scheduler::record_undelivered(Machine& machine, int by) {
   machine.undelivered += by;
   if (machine.undelivered >= c::kUndeliveredMost) probe_if_suspect(machine);
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: machines that become unresponsive, and what their silence proves. docs/design.md, section "What
-/// was added", "Evidence" and "Unanswered machines".
+/// Scheduler: detects unresponsive machines and decides when their tasks are certainly gone. docs/design.md,
+/// section "What was added", "Evidence" and "Unanswered machines".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -19,26 +19,27 @@
   return last_answer_at(machine) + context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
 }
 
-// The last moment (steady) at which any controller can have answered one of its heartbeats.
+// Returns the latest steady time at which any controller can have answered a heartbeat of the machine.
 double Scheduler::last_answer_at(const Machine& machine) const {
   if (machine.unanswered_since_ms)
     return context_.now.steady + (static_cast<double>(*machine.unanswered_since_ms - context_.now.wall_ms) +
                                   2 * context_.settings.clock_error_ms) /
                                      1000.0;
-  // An agent epoch without an answered heartbeat has its lease from its beginning. A machine that reached no
-  // controller, and was given work by direct commands, was once taken for free of it while its newest agent
-  // epoch still ran.
+  // The lease of an agent epoch starts with the epoch, even if none of its heartbeats was answered. Without
+  // that bound, a machine that reached no controller but was given work by direct commands was considered
+  // free of that work while its newest agent epoch was still running.
   double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
   if (!machine.saw_term) last = std::max(last, election_.former_leaders_stopped_at());
   return last;
 }
 
-// From now on its heartbeats are answered only once its record says so: the next leader can compute the end
-// of its lease from the last answer. Without that, leaders that followed one another within a lease would
-// each wait for a whole one.
+// Stops answering the machine's heartbeats until its durable record says that they are answered again, so
+// that the next leader can compute the end of the machine's lease from the last answer. Without this, leaders
+// that replace one another within a lease would each wait for a whole lease.
 void Scheduler::stop_answering(Machine& machine) {
   if (machine.unanswered_since_ms || machine.state == MachineState::kGone) return;
-  // A machine that comes back earlier must be answered at once, or its tasks end with its lease.
+  // A machine that recovers before this point must be answered at once, or its lease expires and its tasks
+  // end.
   if (context_.now.steady < last_answer_at(machine) + c::kUnansweredLeaseShare * context_.settings.lease_s)
     return;
   const double since_s = last_answer_at(machine) - context_.now.steady;
@@ -51,7 +52,8 @@
   return context_.now.steady - unresponsive_since >
          std::max(c::kUnresponsiveMinS, c::kUnresponsiveHeartbeats * context_.settings.heartbeat_interval_s);
 }
-// A machine whose heartbeats stopped becomes unresponsive, and gangs look for capacity elsewhere.
+// Marks a machine as unresponsive when its heartbeats have stopped, and requeues the gangs that reserve
+// capacity on it.
 void Scheduler::detect_missed_heartbeats(Machine& machine) {
   const double patience = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
   const bool expected = machine.sent_heartbeat || (machine.unreconciled && phase_ == LeaderPhase::kServing);
@@ -62,8 +64,8 @@
   requeue_gangs_reserving_on(machine);
 }
 
-// A machine that hangs runs nothing, but what is on it is not gone before it moves again, or the cloud says
-// so.
+// Returns a machine that has not shown in time that cancelled work is gone. The tasks of a hung machine make
+// no progress, but they are not gone until the machine resumes or the cloud confirms its return.
 void Scheduler::return_if_cancelled_work_overdue(Machine& machine) {
   if (machine.state == MachineState::kReturning || machine.state == MachineState::kGone) return;
   if (!cancelled_work_.deadline_passed(machine)) return;
@@ -71,9 +73,10 @@
   MachineLedger::set_state(machine, MachineState::kReturning);
 }
 
-// Whether a direct launch is unanswered. While the machine's agent epoch lasts it may still be carried out,
-// and neither silence nor a lease that is over ends that: only the cloud's confirmation of the machine's
-// return does. Returns the machine when that could start cancelled work.
+// Reports whether a direct launch to the machine is unanswered. Such a launch may still be carried out while
+// the machine's agent epoch lasts. Neither missing heartbeats nor an expired lease rule that out, only the
+// cloud's confirmation of the machine's return does. Sets the machine to returning when the launch is overdue
+// and its job is over.
 bool Scheduler::check_unanswered_launches(Machine& machine) {
   if (machine.direct.empty() || machine.state == MachineState::kGone) return false;
   bool any_open = false;
@@ -91,8 +94,8 @@
   return any_open;
 }
 
-// What a silent machine may hold is lost when its lease has expired for certain, unless a direct launch could
-// still start work there.
+// Drops the tasks of a silent machine once its lease has certainly expired. If a direct launch could still
+// start work there, the machine is returned instead.
 void Scheduler::handle_expired_lease(Machine& machine, bool has_open_launch) {
   if (machine.state != MachineState::kUnresponsive && machine.state != MachineState::kReturning) return;
   const bool has_work = !machine.tasks.empty() || machine.unreconciled || !machine.unknown_tasks.empty();
@@ -101,8 +104,8 @@
     MachineLedger::set_state(machine, MachineState::kReturning);
     return;
   }
-  spdlog::info("machine {}: its lease has expired for certain", machine.name);
-  drop_machine_tasks(machine, "the lease of its machine is over");
+  spdlog::info("machine {}: its lease has certainly expired, its tasks are lost", machine.name);
+  drop_machine_tasks(machine, "the lease of its machine has expired");
 }
 
 void Scheduler::watch_machines() {
@@ -122,7 +125,7 @@
   cancelled_work_.forget(machine);
   drop_machine_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
-  // Only of machines that this leader has known all their life.
+  // Logged only for machines that this leader has known since their provisioning request.
   if (machine.sent_heartbeat && machine.provisioned_at > 0 && machine.cpus > 0 &&
       machine.known_at - machine.provisioned_at < 1) {
     const double lived = context_.now.steady - machine.provisioned_at;
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -20,7 +20,8 @@
 void MachineRecordWriter::write_due() {
   if (!election_.valid()) return;
   auto& machines = context_.machines;
-  // Versions that don't know dependencies can't read records by size, and may lead until the upgrade is over.
+  // Versions without dependencies cannot read records that are laid out by size, and may lead until the
+  // upgrade is complete.
   if (versions_.upgrade_complete())
     machines.lay_out_by_size(context_.settings.value_bytes() - c::kValueSlackBytes, election_.term());
   machines.assign_records();
@@ -37,8 +38,9 @@
   });
 }
 
-// Seconds between two writes of one record. The more records wait, the more changes go into each write:
-// completions and submissions need writes too.
+// Returns the shortest interval between two writes of an urgent record. It grows with the number of waiting
+// records, so that each write covers more changes and part of the write budget is left for completions and
+// submissions.
 double MachineRecordWriter::urgent_write_interval_s() const {
   const auto& groups = context_.machines.groups();
   const auto urgent = std::count_if(groups.begin(), groups.end(), [](const auto& entry) {
@@ -63,7 +65,8 @@
   if (record.machine_names.empty() && group.mod_revision == 0) return;
   group.writing = true;
   group.last_write = context_.now.steady;
-  // Until the answer is known either version may be on record, so only what both name counts as recorded.
+  // Until the write is answered, the stored record may be the old or the new version, so only machines that
+  // both versions name as launchable count as recorded.
   for (const auto& member : group.members)
     if (Machine* machine = machines.find(member);
         machine != nullptr && !record.launchable_addrs.contains(member))
@@ -83,7 +86,8 @@
                                  std::uint64_t mod_revision) {
   auto& group = context_.machines.groups()[record.group];
   group.writing = false;
-  if (outcome == WriteOutcome::kConflict) return election_.guard_lost();  // start over from the ledger
+  if (outcome == WriteOutcome::kConflict)
+    return election_.guard_lost();  // another leader wrote it: start over from the ledger
   if (outcome != WriteOutcome::kDone) {
     group.urgent = true;
     return;
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// When the durable records of machines are written. docs/design.md, sections "What was added" ("Records")
-/// and "Limits of the state service".
+/// Writes the durable records of machines. docs/design.md, sections "What was added" ("Records") and "Limits
+/// of the state service".
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   MachineRecordWriter(ControllerContext& context, Election& election, const PeerVersions& versions)
       : context_(context), election_(election), versions_(versions) {}
 
-  /// A term begins or ends: ignores the answers to all writes that are open.
+  /// Ignores the answers to all open writes. Called when a term begins or ends.
   void reset() { ++generation_; }
   /// Starts the writes that are due. Call it only while the machine ledger is complete; does nothing when the
   /// leadership is not valid.
@@ -36,11 +36,11 @@
   void clear_written() { written_ = false; }
 
  private:
-  // What a write in progress will have put on record.
+  // The content of a record once the write in flight has succeeded.
   struct PendingRecord {
     std::string group;
     std::vector<std::string> machine_names;               // all machines that the record names
-    std::map<std::string, std::string> launchable_addrs;  // of them those on which tasks may be launched
+    std::map<std::string, std::string> launchable_addrs;  // of them, those on which tasks may be launched
   };
 
   double urgent_write_interval_s() const;
@@ -50,7 +50,7 @@
   ControllerContext& context_;
   Election& election_;
   const PeerVersions& versions_;
-  std::uint64_t generation_ = 0;  // of terms: answers that belong to an earlier one are ignored
+  std::uint64_t generation_ = 0;  // counts terms, to ignore answers that belong to an earlier one
   bool written_ = false;
 };
 
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: a new leader reads the ledger, and waits for a full round of heartbeats before it places
-/// anything. docs/design.md, section "What was added", "Records" and "Questions".
+/// Scheduler: a new leader loads the ledger and waits for a full round of heartbeats before it places any
+/// task. docs/design.md, section "What was added", "Records" and "Questions".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -70,8 +70,8 @@
 }
 
 void Scheduler::retry_load(std::function<void()> again) {
-  // A page that did not come is asked for again by a cheap read after a pause; the lease bounds how long this
-  // goes on.
+  // Probes the state service with a cheap read, and repeats the failed step once the service is reachable or
+  // the read took longer than kLoadRetryS. The leader lease bounds how long the retries continue.
   const double since = context_.now.steady;
   context_.state.read(
       bookkeeping::kTermKey,
@@ -144,9 +144,9 @@
       bookkeeping::StateClient::Urgency::kFirst);
 }
 
-// A waiting job whose dependencies are all over may run already, launched by an earlier leader: it is known
-// as released before the first heartbeat is looked at, or its tasks would be stopped as nobody's. `tick` goes
-// on when that is decided.
+// A waiting job whose dependencies are all over may already have been released and launched by an earlier
+// leader. Its state must be known before the first heartbeat is processed, or its tasks would be stopped as
+// unknown. `tick` finishes the loading once the states are known.
 void Scheduler::load_dependencies() {
   std::vector<Job*> waiting;
   for (auto& [id, job] : context_.jobs.all())
@@ -157,7 +157,7 @@
   loading_dependencies_ = true;
 }
 
-// The ledger is complete: works out what earlier leaders may have left running, and begins to reconcile.
+// The ledger is loaded: determines what earlier leaders may have left running and starts to reconcile.
 void Scheduler::finish_loading() {
   loading_dependencies_ = false;
   list_unreconciled_machines();
@@ -175,7 +175,8 @@
   for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
-// Machines of earlier leaders are unreconciled, unless their lease has expired for certain.
+// Registers the machines of earlier leaders as unreconciled, unless their lease has certainly expired, and
+// plans probes of those with a known address.
 void Scheduler::list_unreconciled_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
     set_capacity_from_catalog(machine);
@@ -187,10 +188,10 @@
   }
 }
 
-// Ends the jobs that are over already, and counts the others as record_arrival.
+// Finishes jobs that are already over and records the arrival of active ones.
 void Scheduler::settle_loaded_jobs() {
   for (auto& [id, job] : context_.jobs.all()) {
-    // The list may have been made just before another controller withdrew the job.
+    // Another controller may have cancelled the job just after the list was read.
     if (const auto state = context_.jobs.final_state(id); state && !job->over()) {
       finish_job(*job, *state);
       read_job(id);
@@ -200,8 +201,9 @@
   }
 }
 
-// Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
-// one that hangs also after its lease.
+// An unreconciled machine may hold tasks of jobs that were cancelled under an earlier leader. So may a
+// machine whose heartbeats are not answered, even after its lease has expired: a hung machine does not stop
+// its tasks.
 void Scheduler::track_previously_cancelled_jobs() {
   for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
@@ -212,8 +214,8 @@
   }
 }
 
-// A full round: every machine that an earlier leader may have used has proved what is on it, or does not
-// answer.
+// Returns whether the round of heartbeats is complete: every machine that an earlier leader may have used has
+// reported its tasks or failed to answer a probe, or the time for the round is over.
 bool Scheduler::reconciled() {
   const double now = context_.now.steady;
   if (now >= reconcile_until_) return true;
@@ -221,8 +223,8 @@
   next_reconcile_check_ = now + c::kReconcileCheckS;
   bool any = false;
   for (const auto& [name, machine] : context_.machines.all()) {
-    // One unanswered probe is enough here: an unresponsive machine proves nothing by being waited for, and
-    // what may be on it stays blocked until it does.
+    // One unanswered probe is enough: waiting for an unresponsive machine brings no information, and jobs
+    // that may have tasks on it stay blocked until it is reconciled.
     if (machine.unreconciled && machine.probe_failures == 0) return false;
     any = any || machine.saw_term;
   }
