--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -98,11 +98,11 @@
       });
 }
 
-// Called whenever this controller learns of a cancellation by another controller, before the user who asked
-// gets an answer, so that no answer from this in-memory state predates the cancellation. Recording the final
-// state alone would let the scheduler continue with the job. A degraded leader stops the tasks too, because
-// their machines keep sending heartbeats to it. While the ledger is loading, settle_loaded_jobs does this
-// instead.
+// Called for every way in which this controller learns that a cancellation is durable, and before the user
+// who cancelled the job gets an answer, so that no later answer from this in-memory state predates the
+// cancellation. Recording the final state alone would let the scheduler continue with the job. A degraded
+// leader stops the tasks too, because their machines keep sending heartbeats to it. While the ledger is
+// loading, settle_loaded_jobs does this instead.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -19,7 +19,8 @@
 }  // namespace
 
 // A failed task may be the fault of its machine, its job, or both. A machine that fails tasks of different
-// jobs is cordoned; a job that fails on different machines is retried with an increasing backoff.
+// jobs, or keeps failing tasks that work elsewhere, is cordoned. A job that fails on different machines is
+// retried with an increasing backoff.
 void Scheduler::record_failure(Machine& machine, Job& job) {
   const double now = context_.now.steady;
   ++machine.errors;
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -26,8 +26,8 @@
                                   2 * context_.settings.clock_error_ms) /
                                      1000.0;
   // The lease of an agent epoch starts with the epoch, even if none of its heartbeats was answered. Without
-  // that bound, a machine that reached no controller but was given work by direct commands was considered
-  // free of that work while its newest agent epoch was still running.
+  // agent_epoch_shown_at in this maximum, a machine that reached no controller but was given work by direct
+  // commands was considered free of that work while its newest agent epoch was still running.
   double last = std::max({machine.last_answer, machine.agent_epoch_shown_at, began_});
   if (!machine.saw_term) last = std::max(last, election_.former_leaders_stopped_at());
   return last;
