--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Budget, queues and pace of the calls to the state service.
+/// Budget, queues and pace of calls to the state service.
 #include "bookkeeping/state_client.hpp"
 
 #include <spdlog/spdlog.h>
@@ -18,8 +18,8 @@
 
 constexpr int kMsPerSecond = 1000;
 
-// Requests that must be covered before a read from the queue is sent: itself, and one that is left for what
-// is to be written, since users wait for their submissions.
+// Requests that the budget must cover before a queued call is sent: the call itself, and one in reserve for
+// a write, since users wait for their submissions.
 constexpr double kRequestsForQueued = 2;
 
 }  // namespace
@@ -42,27 +42,27 @@
   writes_.set_rate(scaled(settings_.state_write_rps), scaled(settings_.state_write_rps));
 }
 
-// The limits may be lower than the settings say. A refused call is not simply repeated at the same pace.
-void StateClient::learn_from(int status) {
+// The service's limits may be lower than the settings say, so a 429 reduces the pace of all further calls.
+void StateClient::record_status(int status) {
   if (status == state_status::kMalformed) ++rejected_;
   if (status != state_status::kThrottled) return;
   ++throttled_;
-  if (now_ - pace_changed_at_ < constants::kPaceEveryS) return;
+  if (now_ - pace_changed_at_ < constants::kPaceReductionIntervalS) return;
   pace_changed_at_ = now_;
-  const double slower = std::max(constants::kPaceLeast, pace_ * constants::kPaceDrop);
+  const double slower = std::max(constants::kPaceMin, pace_ * constants::kPaceReductionFactor);
   if (slower == std::exchange(pace_, slower)) return;
-  spdlog::warn("the state service answers 429: going on at {:.0f}% of the usual pace", pace_ * 100);
+  spdlog::warn("the state service answers 429: calls continue at {:.0f}% of the usual rate", pace_ * 100);
   set_rates();
 }
 
 void StateClient::recover_pace() {
-  if (pace_ >= 1 || now_ - pace_changed_at_ < constants::kPaceRecoverS) return;
+  if (pace_ >= 1 || now_ - pace_changed_at_ < constants::kPaceRecoveryIntervalS) return;
   pace_changed_at_ = now_;
-  pace_ = std::min(1.0, pace_ + constants::kPaceStep);
+  pace_ = std::min(1.0, pace_ + constants::kPaceRecoveryStep);
   set_rates();
 }
 
-bool StateClient::reachable(double now) const { return now - last_answer_ < constants::kStateFreshS; }
+bool StateClient::reachable(double now) const { return now - last_answer_ < constants::kStateReachableS; }
 
 void StateClient::tick(double now) {
   now_ = now;
@@ -71,7 +71,8 @@
   recover_pace();
   const auto refused = std::exchange(refused_, {});
   for (const auto& answered : refused) answered({state_status::kThrottled, ""});
-  while (!first_.empty() && requests_.covers(1) && writes_.covers(first_.front().writes)) send_front(first_);
+  while (!urgent_queue_.empty() && requests_.covers(1) && writes_.covers(urgent_queue_.front().writes))
+    send_front(urgent_queue_);
   send_queued();
 }
 
@@ -82,44 +83,46 @@
 }
 
 void StateClient::send_queued() {
-  while (!queue_.empty()) {
-    // Whoever asked has given up by now: a flood of polls must not spend the budget on answers for nobody.
-    if (now_ - queue_.front().since > constants::kStateTimeoutS) {
-      const auto answered = std::move(queue_.front().answered);
-      queue_.pop_front();
+  while (!normal_queue_.empty()) {
+    // The caller has given up by now. Without this, a flood of polls would spend the budget on unused
+    // answers.
+    if (now_ - normal_queue_.front().since > constants::kStateCallTimeoutS) {
+      const auto answered = std::move(normal_queue_.front().answered);
+      normal_queue_.pop_front();
       answered({state_status::kThrottled, ""});
       continue;
     }
-    if (!first_.empty() || !requests_.covers(kRequestsForQueued) || !writes_.covers(queue_.front().writes))
+    if (!urgent_queue_.empty() || !requests_.covers(kRequestsForQueued) ||
+        !writes_.covers(normal_queue_.front().writes))
       return;
-    send_front(queue_);
+    send_front(normal_queue_);
   }
 }
 
-void StateClient::send(protocol::Call call, int writes, Answered answered) {
+void StateClient::send(protocol::Call call, int writes, ResultCallback answered) {
   requests_.take(1);
   writes_.take(writes);
   calls_.send(std::move(call), [this, answered = std::move(answered)](const CallResult& result) {
     if (result.status != state_status::kNoAnswer && result.status != state_status::kUnavailable)
       last_answer_ = now_;
-    learn_from(result.status);
+    record_status(result.status);
     answered(result);
   });
 }
 
 void StateClient::call(Urgency urgency, const std::string& method, const std::string& target,
-                       std::string body, int writes, double timeout_s, Answered answered) {
+                       std::string body, int writes, double timeout_s, ResultCallback answered) {
   protocol::Call call{0, protocol::Service::kState, "", method, target, std::move(body), timeout_s, false};
-  const bool free = queue_.empty() || urgency == Urgency::kFirst || writes > 0;
+  const bool free = normal_queue_.empty() || urgency == Urgency::kFirst || writes > 0;
   if (urgency == Urgency::kLease ||
-      (free && first_.empty() && requests_.covers(1) && writes_.covers(writes))) {
+      (free && urgent_queue_.empty() && requests_.covers(1) && writes_.covers(writes))) {
     send(std::move(call), writes, std::move(answered));
     return;
   }
-  auto& queue = urgency == Urgency::kFirst ? first_ : queue_;
+  auto& queue = urgency == Urgency::kFirst ? urgent_queue_ : normal_queue_;
   if (queue.size() >= constants::kStateQueueMax) {
-    // Over our own budget: the same as if the service had said so. Not at once, or a caller that asks again
-    // would do so for ever.
+    // This controller is over its own budget, which is reported like a 429 of the service. The callback is
+    // not called here, since a caller that retries in it would loop forever.
     refused_.push_back(std::move(answered));
     return;
   }
@@ -127,7 +130,7 @@
 }
 
 void StateClient::read(const std::string& key, std::function<void(const StateRead&)> done, Urgency urgency) {
-  call(urgency, "GET", std::string(n::kPathStore) + "/" + key, "", 0, constants::kStateTimeoutS,
+  call(urgency, "GET", std::string(n::kPathStore) + "/" + key, "", 0, constants::kStateCallTimeoutS,
        [done = std::move(done)](const CallResult& result) { done(parse_read(result)); });
 }
 
@@ -136,7 +139,7 @@
   std::string target = std::string(n::kPathStore) + "?" + n::kQueryPrefix + "=" + prefix;
   if (!after.empty()) target += std::string("&") + n::kQueryAfter + "=" + after;
   target += std::string("&") + n::kQueryLimit + "=" + std::to_string(constants::kStatePageItems);
-  call(Urgency::kFirst, "GET", target, "", 0, constants::kLoadTimeoutS,
+  call(Urgency::kFirst, "GET", target, "", 0, constants::kStatePageTimeoutS,
        [done = std::move(done)](const CallResult& result) { done(parse_page(result)); });
 }
 
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Units, their transactions, and what answers mean for them.
+/// Batching of units into transactions and handling of the answers.
 #include "bookkeeping/writer.hpp"
 
 #include <spdlog/spdlog.h>
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr char kMark[] = "w";
-constexpr std::size_t kOpBytes = 160;     // of one change in a transaction, beside its key and value
-constexpr std::size_t kKeysInOp = 2;      // the condition names the key, and the change
-constexpr std::size_t kTidyFraction = 4;  // of the queue, what only tidies up may fill one part in so many
+constexpr char kMarkField[] = "w";
+constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, apart from its key and value
+constexpr std::size_t kKeysInOp = 2;   // both the condition and the change contain the key
+constexpr std::size_t kBackgroundQueueDivisor = 4;  // background units may fill this fraction of the queue
 
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
@@ -76,7 +76,7 @@
   guard_lost_ = nullptr;
   ++generation_;
   paused_ = false;
-  // What a former leader still had to write is not its to write any more.
+  // A former leader must not commit its remaining writes.
   std::deque<UnitPtr> kept;
   std::vector<UnitPtr> dropped;
   for (auto& unit : queue_) (unit->guarded ? dropped.push_back(unit) : kept.push_back(unit));
@@ -88,15 +88,16 @@
   for (const auto& unit : units) unit->written(outcome, revision);
 }
 
-std::size_t TxnWriter::queue_limit(WriteClass urgency) const {
-  return urgency == WriteClass::kTidy ? constants::kWriteUnitsMax / kTidyFraction : constants::kWriteUnitsMax;
+std::size_t TxnWriter::queue_limit(WritePriority urgency) const {
+  return urgency == WritePriority::kBackground ? constants::kWriteUnitsMax / kBackgroundQueueDivisor
+                                               : constants::kWriteUnitsMax;
 }
 
-std::size_t TxnWriter::ops_most() const {
-  return std::min(static_cast<std::size_t>(settings_.txn_ops), ops_learned_);
+std::size_t TxnWriter::ops_limit() const {
+  return std::min(static_cast<std::size_t>(settings_.txn_ops), observed_ops_limit_);
 }
 
-void TxnWriter::submit(std::vector<WriteOp> ops, Written written, WriteClass urgency) {
+void TxnWriter::submit(std::vector<WriteOp> ops, WriteCallback written, WritePriority urgency) {
   if (queue_.size() >= queue_limit(urgency) || ops.size() > static_cast<std::size_t>(settings_.txn_ops)) {
     written(WriteOutcome::kRefused, 0);
     return;
@@ -107,7 +108,7 @@
   unit->written = std::move(written);
   unit->urgency = urgency;
   for (auto& op : ops) {
-    if (op.value) (*op.value)[kMark] = unit->mark;
+    if (op.value) (*op.value)[kMarkField] = unit->mark;
     unit->bytes += kOpBytes + op.key.size() * kKeysInOp + (op.value ? json::serialize(*op.value).size() : 0);
   }
   unit->ops = std::move(ops);
@@ -118,7 +119,7 @@
 
 void TxnWriter::pump(double now) {
   now_ = now;
-  while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlight && !queue_.empty()) {
+  while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlightMax && !queue_.empty()) {
     auto batch = take_batch();
     if (batch.units.empty()) return;
     if (!state_.writes_ready(static_cast<int>(batch.ops))) return requeue(batch.units);
@@ -126,18 +127,18 @@
   }
 }
 
-// The first unit always fits: should it be too large for the service, its answer says so.
+// The first unit always fits. If it is too large, the service rejects it.
 bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
   if (batch.units.empty()) return true;
-  return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_most() &&
+  return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_limit() &&
          batch.bytes + unit.bytes <= constants::kTxnBytesMax;
 }
 
-// Takes the units of the next transaction out of the queue: all with a guard, or all without.
+// Removes the units of the next transaction from the queue: either all guarded or all unguarded.
 TxnWriter::Batch TxnWriter::take_batch() {
   Batch batch;
-  // Keys of the units that were taken, since a key may stand only once in a transaction, and of those passed
-  // over, so that later writes to them wait their turn.
+  // Keys of the units that were taken, since a transaction may contain a key only once, and of the units that
+  // were skipped, so that later writes to the same keys do not overtake them.
   std::set<std::string> blocked;
   const bool guarded = queue_.front()->guarded;
   for (auto place = queue_.begin(); place != queue_.end();) {
@@ -180,7 +181,7 @@
   const int writes = static_cast<int>(body.at(n::kOperations).get_array().size());
   ++in_flight_;
   state_.call(StateClient::Urgency::kNormal, "POST", n::kPathTxn, json::serialize(body), writes,
-              constants::kStateTimeoutS,
+              constants::kStateCallTimeoutS,
               [this, units = std::move(units), generation = generation_](const protocol::CallResult& result) {
                 on_answer(units, generation, result);
               });
@@ -201,7 +202,7 @@
   if (status == state_status::kMalformed) return TxnAnswer::kMalformed;
   if (status == state_status::kThrottled || status == state_status::kUnavailable)
     return TxnAnswer::kNotCarriedOut;
-  return TxnAnswer::kOpen;
+  return TxnAnswer::kUnresolved;
 }
 
 void TxnWriter::on_answer(const std::vector<UnitPtr>& units, std::uint64_t generation,
@@ -213,7 +214,7 @@
   const auto* body = value ? value->if_object() : nullptr;
   const auto answer = classify(result.status, body);
   if (answer == TxnAnswer::kCarriedOut) return finish(units, WriteOutcome::kDone, revision_of(*body));
-  // Leadership changed meanwhile; the next leader reads what became of this.
+  // Leadership has changed since the transaction was sent. The next leader reads its outcome.
   if (units.front()->guarded && generation != generation_) return finish(units, WriteOutcome::kLost, 0);
   switch (answer) {
     case TxnAnswer::kCarriedOut:
@@ -224,8 +225,8 @@
       return on_malformed(units);
     case TxnAnswer::kNotCarriedOut:
       return requeue_after_pause(units);
-    case TxnAnswer::kOpen:
-      for (const auto& unit : units) unit->open_try = true;
+    case TxnAnswer::kUnresolved:
+      for (const auto& unit : units) unit->unresolved_attempt = true;
       return requeue_after_pause(units);
   }
 }
@@ -243,7 +244,7 @@
     const bool hit = names_any(unit->ops, failed);
     if (!hit && !failed.empty())
       again.push_back(unit);
-    else if (hit && unit->open_try)
+    else if (hit && unit->unresolved_attempt)
       settle_by_reading(unit);
     else
       unit->written(WriteOutcome::kConflict, 0);
@@ -251,11 +252,12 @@
   requeue(again);
 }
 
-// A limit is lower than the settings say. Larger transactions are not tried again, and each unit of this one
-// is tried by itself: one that is refused even so was never going to be taken.
+// The service has a lower limit than the settings say. Later transactions are smaller, and each unit of this
+// one is sent alone. A unit that is rejected alone can never be accepted.
 void TxnWriter::on_malformed(const std::vector<UnitPtr>& units) {
   if (units.size() == 1) {
-    spdlog::error("the state service refuses a change of {}", units.front()->ops.front().key);
+    spdlog::error("the state service refuses a change of {} that was sent alone",
+                  units.front()->ops.front().key);
     return finish(units, WriteOutcome::kRefused, 0);
   }
   std::size_t ops = 0;
@@ -263,14 +265,16 @@
     unit->alone = true;
     ops += unit->ops.size();
   }
-  ops_learned_ = std::clamp(ops / 2, constants::kTxnOpsLeast, std::max(constants::kTxnOpsLeast, ops_most()));
-  spdlog::warn("the state service refuses a transaction of {} changes: {} at most from now on", ops,
-               ops_most());
+  observed_ops_limit_ =
+      std::clamp(ops / 2, constants::kTxnOpsMin, std::max(constants::kTxnOpsMin, ops_limit()));
+  spdlog::warn("the state service refuses a transaction of {} changes: later ones have {} at most", ops,
+               ops_limit());
   requeue(units);
 }
 
-// The conditions of an unanswered transaction fail at its repeat: either it was carried out after all, or
-// somebody else wrote. The mark in the value (or the absence of a deleted key) tells which.
+// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either the first attempt
+// was committed, or another writer changed the key. The mark in the value, or the absence of a deleted key,
+// shows which.
 void TxnWriter::settle_by_reading(const UnitPtr& unit) {
   const WriteOp* probe = nullptr;
   for (const auto& op : unit->ops)
@@ -289,11 +293,11 @@
 }
 
 void TxnWriter::on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read) {
-  // Still open: the repeat fails again and leads back here.
+  // Still unresolved: the retry fails its conditions again and returns here.
   if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
   bool carried_out = deleting && read.found == StateRead::Found::kNo;
   if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
-    const auto* mark = read.value.get_object().if_contains(kMark);
+    const auto* mark = read.value.get_object().if_contains(kMarkField);
     carried_out = mark != nullptr && mark->is_string() && mark->get_string() == unit->mark;
   }
   unit->written(carried_out ? WriteOutcome::kDone : WriteOutcome::kConflict, read.mod_revision);
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -40,39 +40,44 @@
 Election::Election(ControllerContext& context, Events events)
     : context_(context), events_(std::move(events)), former_leaders_(context) {}
 
-// ---------------------------------------------------------------- what this controller may do
+// ---------------------------------------------------------------- permissions of this controller
 
 bool Election::valid() const { return role_ == Role::kLeading && context_.now.steady < valid_until_; }
 
 bool Election::owns_fencing_token() const {
-  return leads(role_) && context_.now.steady < last_renewed_ + c::kDegradedBoundS * (1 - c::kClockDrift);
+  return leads(role_) &&
+         context_.now.steady < last_renewal_sent_at_ + c::kDegradedAnswerMaxS * (1 - c::kClockDrift);
 }
 
-bool Election::answers() const {
+bool Election::may_answer_heartbeats() const {
   const double now = context_.now.steady;
   const auto& cancellations = context_.cancellations;
   if (!owns_fencing_token()) return false;
-  // Where leases and cancellations are too close together, nobody announces any before this bound has passed.
-  if (cancellations.strict()) return now < last_renewed_ + cancellations.answer_s() * (1 - c::kClockDrift);
-  return now < cancellations.known_up_to(now) + cancellations.answer_s();
+  // In strict mode, only a valid leader announces cancellations, and not before every former leader has
+  // passed this bound.
+  if (cancellations.only_leader_announces())
+    return now < last_renewal_sent_at_ + cancellations.heartbeat_answer_window_s() * (1 - c::kClockDrift);
+  return now < cancellations.known_up_to(now) + cancellations.heartbeat_answer_window_s();
 }
 
-bool Election::caught_up() const {
+bool Election::caught_up_on_cancellations() const {
   const auto& cancellations = context_.cancellations;
-  const double known = cancellations.read_up_to();
+  const double known = cancellations.change_log_read_up_to();
   if (known < leading_since_) return false;
-  return cancellations.strict() || context_.now.steady < known + cancellations.answer_s() / 2;
+  return cancellations.only_leader_announces() ||
+         context_.now.steady < known + cancellations.heartbeat_answer_window_s() / 2;
 }
 
 bool Election::may_announce_cancellation(protocol::JobId id) const {
   auto& cancellations = context_.cancellations;
-  // A valid leader knows it itself. What former leaders have in memory does not matter: none of them is
-  // valid.
-  if (valid()) return !cancellations.strict() || context_.now.steady >= former_leaders_stopped_at();
-  return !cancellations.strict() && cancellations.acknowledged_by_all(id, context_.now.steady);
+  // A valid leader knows its own announcements, and what former leaders hold in memory does not matter, since
+  // none of them is valid. In strict mode it also waits until no former leader answers heartbeats.
+  if (valid())
+    return !cancellations.only_leader_announces() || context_.now.steady >= former_leaders_stopped_at();
+  return !cancellations.only_leader_announces() && cancellations.acknowledged_by_all(id, context_.now.steady);
 }
 
-// ---------------------------------------------------------------- changes of role
+// ---------------------------------------------------------------- role changes
 
 void Election::become(Role role) {
   if (role_ == role) return;
@@ -89,36 +94,37 @@
 }
 
 void Election::retry_in(double pause_s) {
-  next_try_ = context_.now.steady + pause_s;
+  next_attempt_at_ = context_.now.steady + pause_s;
   become(Role::kDiscovering);
 }
 
 void Election::step_down(const char* reason) {
   if (!leads(role_)) return;
-  spdlog::info("leadership: term {} ends here: {}", term_, reason);
+  spdlog::info("leadership: term {} ended: {}", term_, reason);
   leader_.clear();
   lease_ = 0;
   valid_until_ = -1e9;
   retry_in(0);
 }
 
-void Election::guard_lost() { step_down("the leader key was changed"); }
+void Election::on_state_diverged() { step_down("the in-memory state may differ from the key-value store"); }
 
 void Election::higher_term_seen(std::uint64_t term) {
   if (term <= term_) return;
-  step_down("a higher term was seen");
+  step_down("a message carried a higher term");
   term_ = term;
 }
 
 void Election::resign() {
   if (!leads(role_)) return;
   revoke_lease(lease_);
-  step_down("termination requested");
-  next_try_ = context_.now.steady + 1e9;  // an ending process does not campaign
+  step_down("this process is shutting down");
+  next_attempt_at_ = context_.now.steady + 1e9;  // a process that shuts down does not campaign
 }
 
 void Election::on_status(const protocol::PeerMessage& status) {
-  // Also from one that does not lead: it knows of a leader after this one, which may have ended already.
+  // A leading controller also accepts the term of a peer that does not lead: that peer has seen a later
+  // leader, whose term may have ended already.
   if (status.leading || leads(role_)) higher_term_seen(status.term);
   if (role_ == Role::kLeading) former_leaders_.on_status(status, term_);
 }
@@ -127,7 +133,7 @@
   const double now = context_.now.steady;
   switch (role_) {
     case Role::kDiscovering:
-      if (!call_in_flight_ && now >= next_try_) read_leader_key();
+      if (!call_in_flight_ && now >= next_attempt_at_) read_leader_key();
       break;
     case Role::kFollowing:
     case Role::kCampaigning:
@@ -137,8 +143,8 @@
       [[fallthrough]];
     case Role::kDegraded:
       if (!owns_fencing_token())
-        step_down("the degraded leader's bound is reached");
-      else if (now >= next_try_)
+        step_down("the lease was not renewed within the time limit of a degraded leader");
+      else if (now >= next_attempt_at_)
         renew_lease();
       break;
   }
@@ -148,7 +154,7 @@
 
 void Election::read_leader_key() {
   call_in_flight_ = true;
-  next_try_ = context_.now.steady + c::kCampaignRetryS;
+  next_attempt_at_ = context_.now.steady + c::kCampaignRetryS;
   context_.state.read(
       kLeaderKey,
       [this, role_changes = role_changes_](const StateRead& read) {
@@ -167,7 +173,8 @@
   }
   const LeaderRecord record = LeaderRecord::decode(read.value);
   if (record.member == context_.settings.member) {
-    // From an earlier process of ours, or a campaign that was carried out late: nobody else acts under it.
+    // An earlier process of this member wrote the key, or a transaction of this process was applied late. No
+    // other process leads under it, so a new campaign may replace it.
     start_campaign(read.mod_revision);
     return;
   }
@@ -195,8 +202,9 @@
     term_ = std::max(term_, record.term);
   }
   if (!gone) return watch_leader_key(std::max(after_revision, watch.revision));
-  // Two followers learn of it at the same time; a short random wait lets one be first.
-  retry_in(watch.complete() ? context_.draw(c::kCampaignJitterS) : c::kCampaignRetryS);
+  // All followers see the change at the same time. A short random delay keeps their campaigns from
+  // colliding.
+  retry_in(watch.complete() ? context_.random_below(c::kCampaignJitterS) : c::kCampaignRetryS);
 }
 
 // ---------------------------------------------------------------- campaigning
@@ -209,7 +217,7 @@
   json::object body;
   body[n::kTtlMs] = c::kLeaderTtlMs;
   context_.state.call(StateClient::Urgency::kLease, "POST", n::kPathLeases, json::serialize(body), 0,
-                      c::kRenewTimeoutS,
+                      c::kLeaderLeaseCallTimeoutS,
                       [this, role_changes = role_changes_, campaign](const CallResult& result) mutable {
                         if (role_changes != role_changes_) return;
                         const auto value = protocol::parse_json(result.body);
@@ -226,7 +234,7 @@
         if (role_changes != role_changes_) return;
         if (read.found == StateRead::Found::kUnknown) return retry_in(c::kCampaignRetryS);
         const TermRecord last = TermRecord::decode(read.value);
-        former_leaders_.set_last(last);
+        former_leaders_.set_predecessor(last);
         campaign.term_mod_revision = read.mod_revision;
         campaign.term = last.term + 1;
         write_leader_key(campaign);
@@ -239,9 +247,10 @@
   term.member = context_.settings.member;
   term.incarnation = context_.incarnation;
   term.term = campaign.term;
-  term.records_since = former_leaders_.records_since();
+  term.unanswered_recorded_since = former_leaders_.unanswered_recorded_since();
   term.former_stopped_wall_ms = former_leaders_.stopped_wall_ms();
-  term.answer_ms = static_cast<std::int64_t>(std::ceil(context_.cancellations.answer_s() * 1000));
+  term.answer_ms =
+      static_cast<std::int64_t>(std::ceil(context_.cancellations.heartbeat_answer_window_s() * 1000));
   const LeaderRecord leader{term.member, term.incarnation, term.term};
   json::array conditions{{{n::kKey, kLeaderKey}, {n::kModRevision, campaign.key_mod_revision}},
                          {{n::kKey, kTermKey}, {n::kModRevision, campaign.term_mod_revision}}};
@@ -251,7 +260,7 @@
   body[n::kConditions] = std::move(conditions);
   body[n::kOperations] = std::move(changes);
   context_.state.call(StateClient::Urgency::kLease, "POST", n::kPathTxn, json::serialize(body), 2,
-                      c::kRenewTimeoutS,
+                      c::kLeaderLeaseCallTimeoutS,
                       [this, role_changes = role_changes_, campaign](const CallResult& result) {
                         if (role_changes == role_changes_) on_leader_key_written(campaign, result);
                       });
@@ -267,7 +276,8 @@
   retry_in(lost ? 0.0 : c::kCampaignRetryS);
 }
 
-// The campaign went unanswered: only the key itself tells whether it was carried out.
+// Reads the leader key after the campaign's transaction got no conclusive answer: only the key shows whether
+// the transaction was applied.
 void Election::resolve_campaign(const Campaign& campaign) {
   context_.state.read(
       kLeaderKey,
@@ -277,8 +287,8 @@
         if (read.found == StateRead::Found::kYes && record.member == context_.settings.member &&
             record.incarnation == context_.incarnation && record.term == campaign.term)
           return begin_term(campaign, read.mod_revision);
-        // Not (yet): the lease is left to expire. A campaign that is carried out later stands under our own
-        // name and is replaced.
+        // The transaction has not been applied, or not yet. The lease is left to expire. If the transaction
+        // is applied later, the key names this member, and the next campaign replaces it.
         retry_in(c::kCampaignRetryS);
       },
       StateClient::Urgency::kFirst);
@@ -289,24 +299,24 @@
   term_ = campaign.term;
   mod_revision_ = key_mod_revision;
   leader_ = context_.settings.member;
-  last_renewed_ = campaign.lease_sent_at;
+  last_renewal_sent_at_ = campaign.lease_sent_at;
   valid_until_ = lease_valid_until();
-  next_try_ = campaign.lease_sent_at + c::kRenewEveryS;
+  next_attempt_at_ = campaign.lease_sent_at + c::kLeaderRenewIntervalS;
   former_leaders_.on_term_begun();
   become(Role::kLeading);
 }
 
-// ---------------------------------------------------------------- the lease
+// ---------------------------------------------------------------- leader lease
 
 double Election::lease_valid_until() const {
-  return last_renewed_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kValidityMarginS;
+  return last_renewal_sent_at_ + c::kLeaderTtlMs / 1000.0 * (1 - c::kClockDrift) - c::kLeaderLeaseMarginS;
 }
 
 void Election::renew_lease() {
   const double sent_at = context_.now.steady;
-  next_try_ = sent_at + c::kRenewEveryS;
+  next_attempt_at_ = sent_at + c::kLeaderRenewIntervalS;
   const std::string target = std::string(n::kPathLeases) + "/" + std::to_string(lease_) + n::kPathRenew;
-  context_.state.call(StateClient::Urgency::kLease, "POST", target, "", 0, c::kRenewTimeoutS,
+  context_.state.call(StateClient::Urgency::kLease, "POST", target, "", 0, c::kLeaderLeaseCallTimeoutS,
                       [this, lease = lease_, sent_at](const CallResult& result) {
                         if (lease != lease_ || !leads(role_)) return;
                         if (result.status == 200) return on_renewed(sent_at);
@@ -315,15 +325,15 @@
 }
 
 void Election::on_renewed(double sent_at) {
-  last_renewed_ = std::max(last_renewed_, sent_at);
-  context_.cancellations.renewed(sent_at);
+  last_renewal_sent_at_ = std::max(last_renewal_sent_at_, sent_at);
+  context_.cancellations.on_leader_key_renewed(sent_at);
   valid_until_ = lease_valid_until();
   if (role_ == Role::kDegraded && context_.now.steady < valid_until_) become(Role::kLeading);
 }
 
 void Election::revoke_lease(std::uint64_t lease) {
   const std::string target = std::string(n::kPathLeases) + "/" + std::to_string(lease);
-  context_.state.call(StateClient::Urgency::kLease, "DELETE", target, "", 0, c::kRenewTimeoutS,
+  context_.state.call(StateClient::Urgency::kLease, "DELETE", target, "", 0, c::kLeaderLeaseCallTimeoutS,
                       [](const CallResult&) {});
 }
 
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-// The cloud gives the same status for an outage and for a pool without machines; only the text differs.
-bool says_no_capacity(const CallResult& result) {
+// The cloud answers 503 in an outage and for a pool without free machines; only the body tells them apart.
+bool is_out_of_capacity(const CallResult& result) {
   return result.status == 503 && result.body.find("capacity") != std::string::npos;
 }
 
@@ -50,11 +50,11 @@
 void CloudClient::end() { ++generation_; }
 
 void CloudClient::call(const std::string& method, const std::string& target, std::string body,
-                       bookkeeping::Answered answered) {
+                       bookkeeping::ResultCallback answered) {
   budget_.take(1);
   context_.metrics.count("cloud_calls");
   context_.calls.send(
-      {0, protocol::Service::kCloud, "", method, target, std::move(body), c::kCloudTimeoutS, false},
+      {0, protocol::Service::kCloud, "", method, target, std::move(body), c::kCloudCallTimeoutS, false},
       [this, generation = generation_, answered = std::move(answered)](const CallResult& result) {
         if (generation == generation_) answered(result);
       });
@@ -73,7 +73,7 @@
 
 bool CloudClient::catalog_is_due() const {
   if (catalog_in_flight_) return false;
-  const double pause_s = context_.types.empty() ? 0 : c::kCatalogEveryS;
+  const double pause_s = context_.types.empty() ? 0 : c::kCatalogReadIntervalS;
   return context_.now.steady >= next_catalog_ + pause_s;
 }
 
@@ -87,12 +87,13 @@
     next_catalog_ = context_.now.steady;
     context_.types.clear();
     for (const auto& type : *types) context_.types[type.name] = type;
-    for (auto& [name, machine] : context_.machines.all()) scheduler_.know_type(machine);
+    for (auto& [name, machine] : context_.machines.all()) scheduler_.set_capacity_from_catalog(machine);
     if (!catalog_published_) publish_catalog();
   });
 }
 
-// The other controllers need the machine types to decide on submissions, and spare the cloud their calls.
+// Writes the machine types to the key-value store. The other controllers check submissions against them and
+// so need no calls to the cloud.
 void CloudClient::publish_catalog() {
   catalog_published_ = true;
   std::vector<protocol::MachineType> types;
@@ -110,9 +111,9 @@
 
 void CloudClient::read_machine_list(const std::string& after) {
   list_in_flight_ = true;
-  next_list_ = context_.now.steady + c::kListEveryS;
+  next_list_ = context_.now.steady + c::kMachineListIntervalS;
   std::string target =
-      std::string(n::kPathMachines) + "?" + n::kQueryLimit + "=" + std::to_string(c::kListPage);
+      std::string(n::kPathMachines) + "?" + n::kQueryLimit + "=" + std::to_string(c::kMachineListPageItems);
   if (!after.empty()) target += std::string("&") + n::kQueryAfter + "=" + after;
   call("GET", target, "", [this](const CallResult& result) {
     list_in_flight_ = false;
@@ -123,10 +124,11 @@
   });
 }
 
-// The list lags and may go back in time: it makes machines known, and neither frees nor ends anything.
+// The machine list lags, and a later list may show an older state. So it only adds machines and facts about
+// them; it neither releases capacity nor ends tasks.
 void CloudClient::apply_machine_list(const protocol::MachineList& list) {
   const double now = context_.now.steady;
-  if (list.machines.empty() && context_.machines.all().empty()) scheduler_.cloud_is_empty();
+  if (list.machines.empty() && context_.machines.all().empty()) scheduler_.on_cloud_empty();
   for (const auto& listed : list.machines) {
     Machine* machine = context_.machines.find(listed.name);
     if (machine == nullptr) {
@@ -136,7 +138,7 @@
       machine->spot = listed.spot;
       machine->addr = listed.addr;
       machine->provisioned_at = now - listed.age_s - context_.settings.list_lag_s;
-      scheduler_.know_type(*machine);
+      scheduler_.set_capacity_from_catalog(*machine);
     }
     if (machine->provisioned_at == 0) machine->provisioned_at = now - listed.age_s;
     machine->last_listed = now;
@@ -145,13 +147,13 @@
 }
 
 void CloudClient::provision(const CapacityPool& pool, int count) {
-  for (int left = count; left > 0; left -= c::kProvisionMax) {
+  for (int left = count; left > 0; left -= c::kProvisionRequestMachinesMax) {
     ProvisioningRequest request;
-    // Unique over terms, and so over processes: a term has one leader.
+    // The term makes the name unique across processes, since each term has only one leader.
     request.name = "r-" + std::to_string(election_.term()) + "-" + std::to_string(++request_counter_);
     request.pool = pool;
-    request.count = std::min(left, c::kProvisionMax);
-    spdlog::info("provisioning {} x {}", request.count, to_text(pool));
+    request.count = std::min(left, c::kProvisionRequestMachinesMax);
+    spdlog::info("provisioning {} machines of pool {}", request.count, to_text(pool));
     requests_.push_back(std::move(request));
   }
 }
@@ -184,15 +186,15 @@
   if (result.status == 200) {
     const auto names = protocol::parse_provisioned(result.body);
     add_machines(pool, names.value_or(std::vector<std::string>{}));
-    if (names && static_cast<int>(names->size()) < request->count) refuse(pool);
-  } else if (says_no_capacity(result)) {
+    if (names && static_cast<int>(names->size()) < request->count) mark_refused(pool);
+  } else if (is_out_of_capacity(result)) {
     spdlog::info("no capacity for {}", to_text(pool));
-    refuse(pool);
+    mark_refused(pool);
   } else if (result.status == 400) {
-    spdlog::error("the cloud rejects a provisioning request for {} as malformed", pool.type);
-    refuse(pool);
+    spdlog::error("the cloud rejected a provisioning request for {} as malformed", pool.type);
+    mark_refused(pool);
   } else {
-    // It may have been carried out: repeated under the same name, it provisions nothing twice.
+    // The request may have been carried out. A retry under the same name provisions nothing twice.
     request->next_try_s = context_.now.steady + c::kProvisionRetryS;
     return;
   }
@@ -207,35 +209,35 @@
     machine.zone = pool.zone;
     machine.spot = pool.spot;
     machine.provisioned_at = context_.now.steady;
-    scheduler_.know_type(machine);
+    scheduler_.set_capacity_from_catalog(machine);
     spdlog::info("machine {} ({}) provisioned", name, to_text(pool));
     context_.metrics.count("machines_provisioned");
   }
 }
 
-void CloudClient::refuse(const CapacityPool& pool) {
-  refused_until_[pool] = context_.now.steady + c::kNoCapacityS;
+void CloudClient::mark_refused(const CapacityPool& pool) {
+  refused_until_[pool] = context_.now.steady + c::kNoCapacityBackoffS;
 }
 
 void CloudClient::return_machines(ReturnScope scope) {
   if (return_in_flight_ || !budget_.covers(1) || context_.now.steady < next_return_) return;
   std::vector<std::string> names;
   for (const auto& [name, machine] : context_.machines.all()) {
-    if (names.size() >= c::kReturnMax) break;
+    if (names.size() >= c::kReturnRequestMachinesMax) break;
     if (machine.state != MachineState::kReturning) continue;
     if (scope == ReturnScope::kCancelledWorkOnly && machine.overdue.empty()) continue;
     names.push_back(name);
   }
   if (names.empty()) return;
   return_in_flight_ = true;
-  next_return_ = context_.now.steady + c::kFleetStepS;
+  next_return_ = context_.now.steady + c::kFleetReviewIntervalS;
   call("POST", n::kPathReturn, protocol::return_json(names), [this, names](const CallResult& result) {
     return_in_flight_ = false;
-    if (result.status != 200) return;  // tried again at the next review
+    if (result.status != 200) return;  // the next call of return_machines retries it
     for (const auto& name : names) {
       Machine* machine = context_.machines.find(name);
       if (machine == nullptr) continue;
-      scheduler_.machine_gone(*machine);
+      scheduler_.on_machine_gone(*machine);
       machine->known_at = context_.now.steady;
       context_.metrics.count("machines_returned");
     }
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -31,10 +31,11 @@
   const LeaderPhase phase = scheduler_.phase();
   if (!election_.owns_fencing_token() || phase == LeaderPhase::kNone || phase == LeaderPhase::kLoading)
     return;
-  // A degraded leader returns nothing but what may run cancelled work: users were promised that it ends.
+  // A degraded leader returns only machines that may still run cancelled work, since users were promised that
+  // this work ends.
   if (!election_.valid()) return cloud_.return_machines(ReturnScope::kCancelledWorkOnly);
   if (context_.now.steady >= next_review_) {
-    next_review_ = context_.now.steady + c::kFleetStepS;
+    next_review_ = context_.now.steady + c::kFleetReviewIntervalS;
     if (phase == LeaderPhase::kServing && !context_.types.empty()) review();
   }
   cloud_.send_due_call();
@@ -44,21 +45,22 @@
   zones_.update(scheduler_.serving_since());
   const PoolCounts missing = scale_out_.plan();
   if (context_.now.steady >= next_log_ && spdlog::should_log(spdlog::level::debug)) {
-    next_log_ = context_.now.steady + c::kFleetLogEveryS;
+    next_log_ = context_.now.steady + c::kFleetLogIntervalS;
     scale_out_.log_figures();
   }
   provision(missing);
   scale_in_.drain_surplus(scale_out_.array_cores_needed());
   scale_in_.mark_for_return();
   cloud_.return_machines(ReturnScope::kAll);
-  scale_in_.forget_missing();
+  scale_in_.remove_stale_machines();
 }
 
-// Several requests at once for a large need, and none while one for the same pool is unanswered.
+// Queues several requests at once for a large shortage, but none for a pool that still has an unanswered one.
 void Fleet::provision(const PoolCounts& missing) {
   for (const auto& [pool, count] : missing)
     if (!cloud_.has_request(pool))
-      cloud_.provision(pool, std::min(count, c::kProvisionMax * c::kProvisionsAtOnce));
+      cloud_.provision(pool,
+                       std::min(count, c::kProvisionRequestMachinesMax * c::kProvisionRequestsInFlightMax));
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -11,24 +11,25 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 
-void CancelledWork::expect_gone(Machine& machine, const Job& job, double leader_since) {
+void CancelledWork::track(Machine& machine, const Job& job, double leader_since) {
   const double now = context_.now.steady;
   const double cancel_s = context_.settings.cancel_s;
   const double lease_s = context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
-  const double patience =
-      std::max(c::kOverdueShare / 2 * cancel_s,
-               std::min(std::max(c::kOverdueShare * cancel_s, lease_s), cancel_s - c::kOverdueLeadS));
+  const double patience = std::max(
+      c::kCancelPatienceShare / 2 * cancel_s,
+      std::min(std::max(c::kCancelPatienceShare * cancel_s, lease_s), cancel_s - c::kCancelReturnLeadS));
   const double age_s =
       job.cancelled_ms > 0 ? std::max(0.0, (context_.now.wall_ms - job.cancelled_ms) / 1000.0) : 0.0;
   const double cancelled_at = now - age_s;
   double deadline = cancelled_at + patience;
-  // A new leader hears of old cancellations: each machine first gets the time of a round, or what is left of
-  // the time that the cancellation has. All of them were once given back in the moment when the ledger was
-  // read.
+  // A new leader finds old cancellations in the ledger. It gives each machine time for two heartbeats,
+  // limited to what is left of the time that the cancellation allows. Without this, all of these machines
+  // were once returned at the moment when the ledger was read.
   if (machine.unreconciled || machine.unanswered_since_ms) {
     const double round_end =
-        leader_since + 2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS);
-    const double last = cancelled_at + cancel_s - c::kOverdueLastS;
+        leader_since +
+        2 * (context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS);
+    const double last = cancelled_at + cancel_s - c::kNewLeaderCancelReturnLeadS;
     deadline = std::max(deadline, last > now ? std::min(round_end, last) : round_end);
   }
   machine.overdue.emplace(job.spec.id, deadline);
@@ -51,7 +52,7 @@
   machines_.erase(machine.name);
 }
 
-bool CancelledWork::late(const Machine& machine) const {
+bool CancelledWork::deadline_passed(const Machine& machine) const {
   return std::any_of(machine.overdue.begin(), machine.overdue.end(),
                      [&](const auto& entry) { return context_.now.steady >= entry.second; });
 }
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -10,16 +10,16 @@
 
 namespace robinford::coordination {
 namespace c = constants;
-using bookkeeping::WriteClass;
 using bookkeeping::WriteOp;
 using bookkeeping::WriteOutcome;
+using bookkeeping::WritePriority;
 using protocol::JobId;
 
 namespace {
 
 constexpr auto& kPrefix = bookkeeping::kChangeLogPrefix;
 
-// The job that an entry is about: keys are "n/JOB.INCARNATION.SEQUENCE".
+// Returns the job of an entry from its key, which has the form "n/JOB.INCARNATION.SEQUENCE".
 std::optional<JobId> job_of_key(const std::string& key) {
   const auto slash = key.rfind('/');
   const auto dot = key.find('.');
@@ -46,7 +46,7 @@
 
 void ChangeLog::begin(Done done) {
   end();
-  context_.cancellations.change_log_requested(context_.now.steady);
+  context_.cancellations.on_change_log_read_started(context_.now.steady);
   load("", 0, std::move(done));
 }
 
@@ -54,16 +54,17 @@
   ++generation_;
   reading_ = false;
   read_began_ = 0;
-  uncollected_.clear();
-  auto waiting = std::move(waiting_for_open_);
-  for (auto& done : waiting_for_next_) waiting.push_back(std::move(done));
-  waiting_for_open_.clear();
-  waiting_for_next_.clear();
+  failed_deletions_.clear();
+  auto waiting = std::move(waiting_for_current_read_);
+  for (auto& done : waiting_for_next_read_) waiting.push_back(std::move(done));
+  waiting_for_current_read_.clear();
+  waiting_for_next_read_.clear();
   for (const auto& done : waiting) done(false);
 }
 
-// What is there before the jobs are read needs no other attention. The watch begins where the first page was
-// made, so no entry is missed; after a restart of all controllers there may be more than one page.
+// Entries that exist before the jobs are read are only deleted, since the job records already contain their
+// changes. The watch starts at the revision of the first page, so no later entry is missed. After a restart
+// of all controllers there may be more than one page.
 void ChangeLog::load(const std::string& after, std::uint64_t watch_from, Done done) {
   context_.state.list(kPrefix, after,
                       [this, after, watch_from, done = std::move(done),
@@ -83,11 +84,12 @@
   context_.state.watch(kPrefix, after,
                        [this, after, generation = generation_](const bookkeeping::WatchResult& result) {
                          if (generation != generation_) return;
-                         for (const auto& event : result.events) take_event(event);
+                         for (const auto& event : result.events) handle_event(event);
                          if (result.complete()) return watch(std::max(after, result.revision));
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
-                           return events_.lost();  // what happened meanwhile is unknown
-                         // No answer: pause by way of a read, then watch on from the same place.
+                           return events_.entries_missed();  // the changes since then are unknown
+                         // No answer: waits for a read to complete, then watches again from the same
+                         // revision.
                          context_.state.read(
                              bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
@@ -97,7 +99,7 @@
                        });
 }
 
-void ChangeLog::take_event(const bookkeeping::StateEvent& event) {
+void ChangeLog::handle_event(const bookkeeping::StateEvent& event) {
   if (event.deleted) return;
   if (const auto id = job_of_key(event.key)) {
     if (is_cancellation(event.value))
@@ -108,22 +110,22 @@
   delete_entry(event.key, event.mod_revision);
 }
 
-// An entry that can't be deleted now, since too much waits to be written, is tried again: what is left lying
-// would be read by every leader after this one.
+// Deletes an entry. A deletion that is refused because too many writes are queued is retried later, since a
+// remaining entry would be read by every later leader.
 void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
   context_.writer.submit(
       {{key, mod_revision, std::nullopt}},
       [this, key, mod_revision, generation = generation_](WriteOutcome outcome, std::uint64_t) {
         if (generation == generation_ && outcome == WriteOutcome::kRefused)
-          uncollected_.push_back({key, mod_revision});
+          failed_deletions_.push_back({key, mod_revision});
       },
-      WriteClass::kTidy);
+      WritePriority::kBackground);
 }
 
-void ChangeLog::delete_uncollected() {
-  while (!uncollected_.empty() && context_.writer.waiting() < c::kQuietWriter) {
-    const StoredEntry entry = uncollected_.back();
-    uncollected_.pop_back();
+void ChangeLog::retry_deletions() {
+  while (!failed_deletions_.empty() && context_.writer.waiting() < c::kBackgroundWriteQueueMax) {
+    const StoredEntry entry = failed_deletions_.back();
+    failed_deletions_.pop_back();
     delete_entry(entry.key, entry.mod_revision);
   }
 }
@@ -131,29 +133,29 @@
 void ChangeLog::tick() { start_read_if_due(); }
 
 void ChangeLog::after_fresh_read(Done done) {
-  waiting_for_next_.push_back(std::move(done));
+  waiting_for_next_read_.push_back(std::move(done));
   start_read_if_due();
 }
 
 void ChangeLog::start_read_if_due() {
   if (reading_) return;
-  const double shortest_pause_s = c::kChangeLogCalls / context_.settings.state_rps;
-  double pause_s = c::kLoadRetryS;
-  if (!waiting_for_next_.empty())
-    pause_s = std::min(shortest_pause_s, c::kChangeLogEveryS);
-  else if (election_.caught_up())
-    pause_s = std::max(c::kChangeLogEveryS, shortest_pause_s);
+  const double shortest_pause_s = c::kChangeLogCallsPerRead / context_.settings.state_rps;
+  double pause_s = c::kLedgerReadRetryS;
+  if (!waiting_for_next_read_.empty())
+    pause_s = std::min(shortest_pause_s, c::kChangeLogReadIntervalS);
+  else if (election_.caught_up_on_cancellations())
+    pause_s = std::max(c::kChangeLogReadIntervalS, shortest_pause_s);
   if (context_.now.steady < read_began_ + pause_s) return;
   reading_ = true;
   read_began_ = context_.now.steady;
-  waiting_for_open_ = std::move(waiting_for_next_);
-  waiting_for_next_.clear();
-  context_.cancellations.change_log_requested(context_.now.steady);
+  waiting_for_current_read_ = std::move(waiting_for_next_read_);
+  waiting_for_next_read_.clear();
+  context_.cancellations.on_change_log_read_started(context_.now.steady);
   read("");
 }
 
-// Reads on from the entry `after`. What the whole read shows proves up to when all that others wrote is known
-// here. The entries are deleted by way of the watch.
+// Reads the log from the entry `after` on. A complete read proves up to which time all cancellations by other
+// controllers are known here. The entries are deleted when the watch reports them.
 void ChangeLog::read(const std::string& after) {
   context_.state.list(kPrefix, after,
                       [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
@@ -164,14 +166,14 @@
                           if (const auto id = job_of_key(item.key)) events_.cancelled(*id);
                         }
                         if (page->more && !page->items.empty()) return read(page->items.back().key);
-                        context_.cancellations.change_log_read(election_.last_renewed());
+                        context_.cancellations.on_change_log_read_finished(election_.last_renewal_sent_at());
                         finish_read(true);
                       });
 }
 
 void ChangeLog::finish_read(bool read) {
   reading_ = false;
-  const auto waiting = std::exchange(waiting_for_open_, {});
+  const auto waiting = std::exchange(waiting_for_current_read_, {});
   for (const auto& done : waiting) done(read);
 }
 
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -39,7 +39,7 @@
       finished(dependency, *state);
       if (!graph_.waits(id)) return;
     } else if (known_unfinished(dependency)) {
-      // It was never released, so no earlier leader can have placed anything of it.
+      // The job was never released, so no earlier leader can have placed any task of it.
       job.before = false;
     } else {
       unknown_.insert(dependency);
@@ -65,10 +65,10 @@
 
 void Dependencies::tick() {
   if (unknown_.empty() || context_.now.steady < next_read_) return;
-  next_read_ = context_.now.steady + c::kLoadRetryS;
+  next_read_ = context_.now.steady + c::kLedgerReadRetryS;
   std::vector<JobId> to_read;
   for (const auto id : unknown_)
-    if (to_read.size() + reading_.size() < c::kDependencyReads && !reading_.contains(id))
+    if (to_read.size() + reading_.size() < c::kDependencyReadsInFlightMax && !reading_.contains(id))
       to_read.push_back(id);
   for (const auto id : to_read) read(id);
 }
@@ -79,42 +79,42 @@
     return;
   }
   reading_.insert(id);
-  lookup_.own_records(id, [this, id, generation = generation_](const JobLookup::Known& known) {
+  lookup_.read_own_records(id, [this, id, generation = generation_](const JobLookup::Result& known) {
     if (generation != generation_) return;
     reading_.erase(id);
-    // More may wait for their turn: no pause while answers come.
-    if (known.what != JobLookup::Known::What::kUnknown) next_read_ = context_.now.steady;
-    switch (known.what) {
-      case JobLookup::Known::What::kFinal:
+    // More dependencies may be waiting to be read, so there is no pause while answers arrive.
+    if (known.record_status != JobLookup::Result::RecordStatus::kUnknown) next_read_ = context_.now.steady;
+    switch (known.record_status) {
+      case JobLookup::Result::RecordStatus::kFinal:
         return finished(id, known.state);
-      case JobLookup::Known::What::kLive:
+      case JobLookup::Result::RecordStatus::kLive:
         if (!known_unfinished(id)) events_.admitted(id);
-        next_read_ = context_.now.steady + c::kLoadRetryS;
+        next_read_ = context_.now.steady + c::kLedgerReadRetryS;
         return;
-      case JobLookup::Known::What::kNever:
+      case JobLookup::Result::RecordStatus::kNeverAccepted:
         if (missing_.insert(id).second)
           spdlog::error("jobs wait for {}, of which there is no record", protocol::job_id_text(id));
-        next_read_ = context_.now.steady + c::kVersionsEveryS;
+        next_read_ = context_.now.steady + c::kVersionsReadIntervalS;
         return;
-      case JobLookup::Known::What::kUnknown:
+      case JobLookup::Result::RecordStatus::kUnknown:
         return;
     }
   });
 }
 
-bool Dependencies::release_decided() {
+bool Dependencies::release_states_known() {
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kWaiting) continue;
     const auto& needed = graph_.dependencies(id);
-    const bool held = std::any_of(needed.begin(), needed.end(), [this](JobId dependency) {
+    const bool blocked = std::any_of(needed.begin(), needed.end(), [this](JobId dependency) {
       return known_unfinished(dependency) || missing_.contains(dependency);
     });
-    if (!held) return false;
+    if (!blocked) return false;
   }
   return true;
 }
 
-void Dependencies::inherit(const std::function<double(const Job&)>& duration_s) {
+void Dependencies::inherit_priorities(const std::function<double(const Job&)>& duration_s) {
   for (auto& [id, job] : context_.jobs.all()) {
     job->inherited_priority = Priority::kLow;
     job->inherited_due_ms = std::numeric_limits<double>::infinity();
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -15,20 +15,20 @@
 namespace {
 
 double calls_per_second(const protocol::Settings& settings) {
-  return std::max(c::kDirectLeast, settings.cpu_share * c::kDirectPerCore);
+  return std::max(c::kDirectCallRateMin, settings.cpu_share * c::kDirectCallRatePerCore);
 }
 
 }  // namespace
 
-// By heartbeats a gang waits for two of them, one that confirms its reservations and one whose answer
-// launches. That is worth a connection for each launch where it takes a good part of the shortest start that
-// users expect.
+// Through heartbeats, the start of a gang takes two of them: one that confirms its reservations and one whose
+// answer carries the launch. A direct command costs a connection for each launch. That is worthwhile if two
+// heartbeats take a large part of the shortest start that users expect.
 bool launches_directly(const protocol::Settings& settings) {
-  double shortest = c::kDirectDefaultWaitS;
+  double shortest = c::kDefaultStartObjectiveS;
   for (const auto& objective : settings.objectives)
     if (objective.kind == "wait" || objective.kind == "guarantee")
       shortest = std::min(shortest, objective.within_s);
-  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitter > shortest * c::kDirectWaitShare;
+  return 2 * settings.heartbeat_interval_s * c::kHeartbeatJitterFactor > shortest * c::kDirectLaunchWaitShare;
 }
 
 DirectCommands::DirectCommands(ControllerContext& context, const Election& election,
@@ -41,22 +41,23 @@
               calls_per_second(context.settings)) {}
 
 void DirectCommands::clear() {
-  open_.clear();
+  open_commands_.clear();
   to_probe_.clear();
   unreachable_ = 0;
 }
 
 bool DirectCommands::can_send() const {
-  return open_.size() < static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
+  return open_commands_.size() <
+         static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketDivisor);
 }
 
 void DirectCommands::send(Machine& machine, std::vector<Command> commands) {
   if (machine.addr.empty() || !election_.owns_fencing_token()) return;
   budget_.take(1);
-  Open open;
+  OpenCommand open;
   open.machine = machine.name;
-  open.agent_epoch = machine.saw_term ? machine.agent_epoch : machine.agent_epoch_guess;
-  if (machine.saw_term) {
+  open.agent_epoch = machine.showed_token ? machine.agent_epoch : machine.agent_epoch_guess;
+  if (machine.showed_token) {
     open.known_agent_epoch = machine.agent_epoch;
     open.known_seq = machine.seq;
   }
@@ -65,7 +66,7 @@
   machine.last_probe_at = context_.now.steady;
   context_.metrics.count("direct_calls");
   const DirectCall call{id, machine.addr, open.agent_epoch, std::move(commands)};
-  open_.emplace(id, std::move(open));
+  open_commands_.emplace(id, std::move(open));
   send_(call);
 }
 
@@ -75,11 +76,12 @@
     to_probe_.pop_front();
     Machine* machine = context_.machines.find(name);
     if (machine == nullptr || !machine->unreconciled) continue;
-    const bool just_probed =
-        machine->open_probes > 0 || context_.now.steady - machine->last_probe_at < c::kProbeAgainS;
-    // One that was just answered with our token sends another heartbeat by itself, to show it.
+    const bool just_probed = machine->open_probes > 0 ||
+                             context_.now.steady - machine->last_probe_at < c::kReconcileProbeIntervalS;
+    // A machine that was just answered with this leader's token sends another heartbeat on its own, which
+    // carries the token.
     const bool about_to_show_token =
-        machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kShowTokenS;
+        machine->unproven_answers > 0 && context_.now.steady - machine->last_answer < c::kTokenEchoWaitS;
     if (just_probed || about_to_show_token)
       to_probe_.push_back(name);
     else
@@ -87,31 +89,31 @@
   }
 }
 
-std::optional<DirectCommands::Open> DirectCommands::close(std::uint64_t id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return std::nullopt;
-  Open open = std::move(found->second);
-  open_.erase(found);
+std::optional<DirectCommands::OpenCommand> DirectCommands::close(std::uint64_t id) {
+  const auto found = open_commands_.find(id);
+  if (found == open_commands_.end()) return std::nullopt;
+  OpenCommand open = std::move(found->second);
+  open_commands_.erase(found);
   return open;
 }
 
 bool DirectCommands::may_be_unreachable(const Machine& machine) const {
-  const bool commands_lost =
-      machine.undelivered >= c::kUndeliveredMost || machine.unproven_answers >= c::kUnprovenMost;
+  const bool commands_lost = machine.undelivered_commands >= c::kUndeliveredCommandsMax ||
+                             machine.unproven_answers >= c::kUnprovenAnswersMax;
   const double heartbeat_age_s = context_.now.steady - machine.last_heartbeat;
   return commands_lost &&
-         heartbeat_age_s < 2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatS;
+         heartbeat_age_s < 2 * context_.settings.heartbeat_interval_s + c::kUnreachableHeartbeatSlackS;
 }
 
 DirectCommands::Reachability DirectCommands::record_failure(Machine& machine) {
   ++machine.probe_failures;
-  if (machine.unreconciled && machine.probe_failures < c::kProbesMost) plan_probe(machine.name);
+  if (machine.unreconciled && machine.probe_failures < c::kReconcileProbesMax) plan_probe(machine.name);
   if (!may_be_unreachable(machine) || machine.cordoned) return Reachability::kUncertain;
-  if (machine.probe_failures < c::kProbesEnough) {
+  if (machine.probe_failures < c::kProbeFailureThreshold) {
     probe(machine);
     return Reachability::kUncertain;
   }
-  const auto most = c::kUnreachableLeast +
+  const auto most = c::kUnreachableBaseAllowance +
                     static_cast<std::size_t>(c::kUnreachableShareMax * context_.machines.all().size());
   if (unreachable_ >= most) return Reachability::kUncertain;
   ++unreachable_;
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: what a worker's heartbeat proves about runs, reservations and unknown tasks. docs/design.md,
-/// section "What was added", "Evidence".
+/// Scheduler: updates runs, reservations and unknown tasks from the state that a worker reports in a
+/// heartbeat. docs/design.md, section "What was added", "Evidence".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -30,7 +30,8 @@
 namespace {
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 
-// Each task once. Should one stand twice, the live attempt is the one that matters.
+// Maps each task to its status in the heartbeat. If a task is listed twice, the attempt that has not exited
+// takes precedence.
 std::map<TaskId, const TaskStatus*> tasks_shown(const Heartbeat& heartbeat) {
   std::map<TaskId, const TaskStatus*> shown;
   for (const auto& task : heartbeat.tasks) {
@@ -41,15 +42,15 @@
 }
 }  // namespace
 
-// What a newer heartbeat of a machine proves, once it shows our token.
+// Applies a heartbeat that carries this leader's fencing token and is newer than any applied before.
 void Scheduler::apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, HeartbeatSource source) {
-  const bool agent_restarted = machine.saw_term && heartbeat.agent_epoch > machine.agent_epoch;
+  const bool agent_restarted = machine.showed_token && heartbeat.agent_epoch > machine.agent_epoch;
   if (agent_restarted) on_agent_restart(machine);
-  take_machine_facts(machine, heartbeat);
+  update_machine_attributes(machine, heartbeat);
   const auto shown = tasks_shown(heartbeat);
   placements_.set_unknown_tasks(machine, {});
   machine.clears.clear();
-  std::set<TaskId> settled;
+  std::set<TaskId> ended_tasks;
   const std::set<TaskId> known = machine.tasks;
   for (const auto& id : known) {
     Job* job = context_.jobs.find(id.job);
@@ -58,29 +59,30 @@
     if (found == job->runs.end()) continue;
     const auto entry = shown.find(id);
     if (entry == shown.end() || entry->second->attempt != found->second.attempt)
-      run_not_shown(machine, *job, id.index, {agent_restarted, source});
-    else if (run_shown(machine, *job, id.index, *entry->second))
-      settled.insert(id);
+      handle_missing_run(machine, *job, id.index, {agent_restarted, source});
+    else if (update_reported_run(machine, *job, id.index, *entry->second))
+      ended_tasks.insert(id);
   }
-  adopt_unknown(machine, shown, settled);
+  handle_unmatched_tasks(machine, shown, ended_tasks);
   for (const auto& task : heartbeat.tasks) {
-    // The second entry of a task that stands twice.
-    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) clear_later(machine, task);
+    // For a task that is listed twice, clears the exited entry that was not used above.
+    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
   }
   confirm_reservations(machine);
   cancelled_work_.update(machine);
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
-  // Its lease ran out though we answered its heartbeats in time: the answers don't get there.
+  // The agent's lease expired although its last heartbeat was answered less than half a lease ago: the
+  // answers do not reach the machine.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
-    note_undelivered(machine, c::kUndeliveredMost);
-  // Commands for the old agent epoch are refused from now on.
+    record_undelivered(machine, c::kUndeliveredCommandsMax);
+  // The worker refuses commands that are addressed to the previous agent epoch.
   machine.direct.clear();
 }
 
-// Address, type, zone, kind, counters and notice.
-void Scheduler::take_machine_facts(Machine& machine, const Heartbeat& heartbeat) {
+// Updates the address, type, zone, spot flag, heartbeat counters and interruption notice.
+void Scheduler::update_machine_attributes(Machine& machine, const Heartbeat& heartbeat) {
   machine.addr = heartbeat.addr;
   if (machine.type != heartbeat.type || machine.zone != heartbeat.zone || machine.spot != heartbeat.spot ||
       machine.cpus <= 0) {
@@ -88,101 +90,107 @@
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
-    know_type(machine);
+    set_capacity_from_catalog(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.touch(machine);
-  record_contact(machine, heartbeat.agent_epoch, heartbeat.seq);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
+  record_liveness(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
                                 ? std::optional(context_.now.steady + *heartbeat.interruption_notice_s)
                                 : std::nullopt;
   if (machine.interruption_at && !had_interruption_notice)
-    spdlog::info("machine {}: interruption notice, {:.0f} s left", machine.name,
+    spdlog::info("machine {}: received an interruption notice, {:.0f} s left", machine.name,
                  *heartbeat.interruption_notice_s);
 }
 
-// A run of ours that the heartbeat does not show.
-void Scheduler::run_not_shown(Machine& machine, Job& job, std::uint32_t index,
-                              const HeartbeatContext& context) {
+// Handles a run in the ledger that the heartbeat does not list, or lists with another attempt.
+void Scheduler::handle_missing_run(Machine& machine, Job& job, std::uint32_t index,
+                                   const HeartbeatContext& context) {
   const TaskRun& run = job.runs.at(index);
   if (run.state == RunState::kPlanned) return;
   if (run.seen)
-    return run_lost(job, index,
-                    context.agent_restarted ? "its machine began a new agent epoch"
-                                            : "it is not on its machine any more");
-  // Not shown yet. A direct command may still be carried out while its agent epoch lasts. Else a real
-  // heartbeat that is newer than the one whose answer carried the launch settles it: the worker has taken or
-  // dropped that answer before it sent another heartbeat. A direct answer settles nothing.
-  const bool settled = run.direct ? machine.agent_epoch > run.launch_agent_epoch
-                                  : context.source == HeartbeatSource::kWorker &&
-                                        std::tie(machine.agent_epoch, machine.seq) >
-                                            std::tie(run.launch_agent_epoch, run.launch_seq);
-  if (!settled) return;
+    return drop_lost_run(job, index,
+                         context.agent_restarted ? "the agent on its machine started a new epoch"
+                                                 : "its machine no longer reports it");
+  // No heartbeat has listed the run yet. A direct launch may still be carried out while the agent epoch that
+  // it was addressed to lasts. A launch in a heartbeat answer has failed once the worker itself sends a
+  // heartbeat newer than the answered one, because the worker takes or discards an answer before it sends its
+  // next heartbeat. The answer to a direct command does not prove this, since the launch may still be in
+  // flight.
+  const bool launch_failed = run.direct ? machine.agent_epoch > run.launch_agent_epoch
+                                        : context.source == HeartbeatSource::kWorker &&
+                                              std::tie(machine.agent_epoch, machine.seq) >
+                                                  std::tie(run.launch_agent_epoch, run.launch_seq);
+  if (!launch_failed) return;
   if (!run.direct) {
-    note_undelivered(machine, 1);
+    record_undelivered(machine, 1);
     job.avoid[machine.name] = context_.now.steady + context_.settings.heartbeat_interval_s;
   }
-  run_lost(job, index, "the launch did not arrive");
+  drop_lost_run(job, index, "the launch did not reach its machine");
 }
 
-// A run of ours, as the heartbeat shows it. True: it has ended.
-bool Scheduler::run_shown(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+// Updates a run from its status in the heartbeat. Returns true if the run has exited.
+bool Scheduler::update_reported_run(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) {  // it took a command
-    machine.undelivered = 0;
+  if (!run.seen) {  // the launch reached the machine
+    machine.undelivered_commands = 0;
     machine.probe_failures = 0;
   }
   run.seen = true;
   if (task.phase == TaskPhase::kExited) {
-    task_exited(machine, job, index, task);
+    handle_task_exit(machine, job, index, task);
     return true;
   }
   if (run.state == RunState::kLaunched || run.state == RunState::kPlanned)
-    JobLedger::set_run(job, run, RunState::kPresent);
-  if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning) run_began(machine, job, run);
+    JobLedger::set_run_state(job, run, RunState::kPresent);
+  if (task.phase == TaskPhase::kRunning && run.phase != TaskPhase::kRunning)
+    on_run_started(machine, job, run);
   run.phase = task.phase;
   return false;
 }
 
-void Scheduler::run_began(Machine& machine, Job& job, TaskRun& run) {
+void Scheduler::on_run_started(Machine& machine, Job& job, TaskRun& run) {
   const double now = context_.now.steady;
   run.running_since = now;
   machine.fetching += (now - run.launched_at) * job.spec.cpus;
   machine.images[job.spec.image] = now;
-  if (job.first_start != 0) return;
-  job.first_start = now;
+  if (job.first_started_at != 0) return;
+  job.first_started_at = now;
   const double waited = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
-  if (job.spec.gang) spdlog::debug("gang {} first runs {:.1f} s after its submission", name_of(job), waited);
-  context_.metrics.record(job.spec.gang ? Metrics::Spread::kGangWait : Metrics::Spread::kArrayWait,
-                          std::max(0.0, waited));
+  if (job.spec.gang)
+    spdlog::debug("gang {}: its first task runs {:.1f} s after submission", name_of(job), waited);
+  context_.metrics.record(
+      job.spec.gang ? Metrics::Distribution::kGangWait : Metrics::Distribution::kArrayWait,
+      std::max(0.0, waited));
 }
 
-// Tasks that are no runs of ours: an earlier leader's, or old attempts.
-void Scheduler::adopt_unknown(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
-                              const std::set<TaskId>& settled) {
+// Handles listed tasks that match no run in the ledger, such as tasks launched by an earlier leader and old
+// attempts.
+void Scheduler::handle_unmatched_tasks(Machine& machine, const std::map<TaskId, const TaskStatus*>& shown,
+                                       const std::set<TaskId>& ended_tasks) {
   for (const auto& [id, task] : shown) {
-    if (settled.contains(id)) continue;
+    if (ended_tasks.contains(id)) continue;
     if (const Job* job = context_.jobs.find(id.job)) {
       const auto run = job->runs.find(id.index);
       if (run != job->runs.end() && run->second.machine == machine.name &&
           run->second.attempt == task->attempt)
         continue;
     }
-    adopt(machine, *task);
+    handle_unmatched_task(machine, *task);
   }
 }
 
-// An attempt that a direct command started stays listed: the command may come once more, and would start it
-// again.
-void Scheduler::clear_later(Machine& machine, const TaskStatus& task) {
+// Queues a clear command for an exited task. An attempt that was launched by a direct command is not cleared,
+// because a duplicate of that command could then start it again.
+void Scheduler::queue_clear(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
 }
 
-void Scheduler::adopt(Machine& machine, const TaskStatus& task) {
+void Scheduler::handle_unmatched_task(Machine& machine, const TaskStatus& task) {
   Job* job = context_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
-    clear_later(machine, task);
+    queue_clear(machine, task);
     if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
         task.task.index >= job->spec.tasks)
       return;
@@ -213,7 +221,7 @@
   if (job->spec.gang && job->gang == GangState::kStopping) stop_run(*job, task.task.index, 0);
 }
 
-// A result counts whoever started the task. The tasks of a gang complete together.
+// Records a completed task, whichever leader launched it. All tasks of a gang complete together.
 void Scheduler::record_result(Job& job, std::uint32_t index) {
   if (job.spec.gang) {
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) job.mark_done(i);
@@ -223,7 +231,7 @@
   if (job.done_count == job.spec.tasks) complete(job);
 }
 
-void Scheduler::task_exited(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
+void Scheduler::handle_task_exit(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   const TaskRun run = job.runs.at(index);
   placements_.remove_run(job, index);
   if (run.running_since > 0) {
@@ -234,33 +242,33 @@
     spdlog::debug("task {} attempt {} on {}: {}{}", protocol::task_text(task.task), task.attempt,
                   machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
   if (task.exit_reason == ExitReason::kDone) {
-    task_succeeded(machine, job, index, run);
-    clear_later(machine, task);
+    handle_task_success(machine, job, index, run);
+    queue_clear(machine, task);
     context_.metrics.count("tasks_done");
     return;
   }
-  clear_later(machine, task);
+  queue_clear(machine, task);
   if (job.over()) return;
   delay_next_attempt(machine, job, task.exit_reason);
   if (!job.spec.gang) {
-    placements_.return_task(job, index);
+    placements_.requeue_task(job, index);
     return;
   }
   if (job.gang != GangState::kStopping)
-    stop_gang(job, StopMode::kAtOnce, protocol::to_text(task.exit_reason));
+    stop_gang(job, StopMode::kImmediate, protocol::to_text(task.exit_reason));
 }
 
-void Scheduler::task_succeeded(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
+void Scheduler::handle_task_success(Machine& machine, Job& job, std::uint32_t index, const TaskRun& run) {
   machine.errors = 0;
   machine.error_jobs.clear();
   job.failures = 0;
   job.failed_on.clear();
   if (run.running_since > 0 && run.running_since > run.planned_at)
-    run_times_.completed(job, context_.now.steady - run.running_since);
+    run_times_.record_completion(job, context_.now.steady - run.running_since);
   if (job.state == JobState::kActive) record_result(job, index);
 }
 
-// Where and when the job is tried again after one of its tasks ended without a result.
+// Sets which machine the job avoids and how long it backs off after one of its tasks ended without a result.
 void Scheduler::delay_next_attempt(Machine& machine, Job& job, ExitReason reason) {
   const double now = context_.now.steady;
   switch (reason) {
@@ -275,26 +283,26 @@
       job.backoff_until = std::max(job.backoff_until, now + context_.settings.heartbeat_interval_s);
       break;
     case ExitReason::kUnknown:
-      job.backoff_until = std::max(job.backoff_until, now + c::kUnknownBackoffS);
+      job.backoff_until = std::max(job.backoff_until, now + c::kUnknownJobBackoffS);
       break;
     default:
       break;
   }
 }
 
-void Scheduler::run_lost(Job& job, std::uint32_t index, const char* why) {
+void Scheduler::drop_lost_run(Job& job, std::uint32_t index, const char* why) {
   context_.metrics.count("tasks_lost");
   spdlog::debug("task {}/{} lost: {}", name_of(job), index, why);
   placements_.remove_run(job, index);
   if (job.over()) return;
-  if (!job.spec.gang) return placements_.return_task(job, index);
-  if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kAtOnce, why);
+  if (!job.spec.gang) return placements_.requeue_task(job, index);
+  if (job.gang != GangState::kStopping) stop_gang(job, StopMode::kImmediate, why);
 }
 
-void Scheduler::lose_tasks(Machine& machine, const char* why) {
+void Scheduler::drop_machine_tasks(Machine& machine, const char* why) {
   const auto tasks = machine.tasks;
   for (const auto& id : tasks) {
-    if (Job* job = context_.jobs.find(id.job)) run_lost(*job, id.index, why);
+    if (Job* job = context_.jobs.find(id.job)) drop_lost_run(*job, id.index, why);
   }
   placements_.set_unknown_tasks(machine, {});
   mark_reconciled(machine);
@@ -303,9 +311,9 @@
     if (Job* job = context_.jobs.find(id)) {
       placements_.release_reservations(*job);
       if (job->gang == GangState::kReserving)
-        JobLedger::set_gang(*job, GangState::kQueued, context_.now.steady);
+        JobLedger::set_gang_state(*job, GangState::kQueued, context_.now.steady);
     }
-  round_wanted_ = true;
+  round_requested_ = true;
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: a new leader reads the ledger, and waits for a full round of heartbeats before it places
-/// anything. docs/design.md, section "What was added", "Records" and "Questions".
+/// Scheduler: a new leader loads the ledger and waits for a full round of heartbeats before it places any
+/// task. docs/design.md, section "What was added", "Records" and "Questions".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -21,32 +21,32 @@
 void Scheduler::begin() {
   ++generation_;
   machine_records_.reset();
-  began_ = context_.now.steady;
+  term_began_at_ = context_.now.steady;
   first_launch_seen_ = false;
   attempt_counter_ = 0;
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
-  early_.clear();
+  early_heartbeats_.clear();
   waiting_gangs_.clear();
-  reading_.clear();
-  reread_.clear();
+  open_job_reads_.clear();
+  jobs_to_reread_.clear();
   cancelled_work_.clear();
   dependencies_.clear();
   loading_dependencies_ = false;
   queue_order_.clear();
-  stopping_.clear();
+  machines_with_pending_stops_.clear();
   placements_.clear();
   unreconciled_.clear();
-  direct_.clear();
-  gang_kept_.clear();
-  survey_.expire();
-  round_wanted_ = true;
-  next_watch_ = 0;
-  next_sweep_ = 0;
-  next_tiers_ = 0;
+  direct_commands_.clear();
+  withheld_quota_cpus_.clear();
+  capacity_survey_.expire();
+  round_requested_ = true;
+  next_machine_watch_ = 0;
+  next_job_sweep_ = 0;
+  next_tier_update_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
-                            [this] { election_.guard_lost(); });
+                            [this] { election_.on_state_diverged(); });
   set_phase(LeaderPhase::kLoading);
   load_change_log();
 }
@@ -56,11 +56,11 @@
   machine_records_.reset();
   change_log_.end();
   context_.writer.clear_guard();
-  for (const auto& waiting : early_) actions_.answer(waiting.key, 421, {});
-  early_.clear();
+  for (const auto& waiting : early_heartbeats_) actions_.answer(waiting.key, 421, {});
+  early_heartbeats_.clear();
   waiting_gangs_.clear();
   queue_order_.clear();
-  direct_.clear();
+  direct_commands_.clear();
   context_.jobs.clear();
   context_.machines.clear();
   context_.quota.clear();
@@ -69,25 +69,26 @@
   set_phase(LeaderPhase::kNone);
 }
 
-void Scheduler::load_failed(std::function<void()> again) {
-  // A page that did not come is asked for again by a cheap read after a pause; the lease bounds how long this
-  // goes on.
+void Scheduler::retry_load(std::function<void()> again) {
+  // Probes the state service with a cheap read, and repeats the failed step once the service is reachable or
+  // the read took longer than kLedgerReadRetryS. The leader lease bounds how long the retries continue.
   const double since = context_.now.steady;
   context_.state.read(
       bookkeeping::kTermKey,
       [this, again = std::move(again), since, generation = generation_](const bookkeeping::StateRead&) {
         if (generation != generation_ || phase_ != LeaderPhase::kLoading) return;
-        if (context_.now.steady - since > c::kLoadRetryS || context_.state.reachable(context_.now.steady))
+        if (context_.now.steady - since > c::kLedgerReadRetryS ||
+            context_.state.reachable(context_.now.steady))
           again();
         else
-          load_failed(again);
+          retry_load(again);
       },
       bookkeeping::StateClient::Urgency::kFirst);
 }
 
 void Scheduler::load_change_log() {
   change_log_.begin([this](bool read) {
-    if (!read) return load_failed([this] { load_change_log(); });
+    if (!read) return retry_load([this] { load_change_log(); });
     load_jobs("");
   });
 }
@@ -97,7 +98,7 @@
       bookkeeping::kLiveJobPrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
-        if (!page) return load_failed([this, after] { load_jobs(after); });
+        if (!page) return retry_load([this, after] { load_jobs(after); });
         for (const auto& item : page->items) {
           auto job = JobLedger::from_record(item.value, item.mod_revision, context_.now.steady);
           if (!job) {
@@ -118,11 +119,11 @@
       bookkeeping::kMachinePrefix, after,
       [this, after, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
         if (generation != generation_) return;
-        if (!page) return load_failed([this, after] { load_machines(after); });
+        if (!page) return retry_load([this, after] { load_machines(after); });
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
           if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
-                                            election_.records_since()))
+                                            election_.unanswered_recorded_since()))
             spdlog::error("malformed record {}", item.key);
         }
         if (page->more && !page->items.empty()) return load_machines(page->items.back().key);
@@ -144,92 +145,95 @@
       bookkeeping::StateClient::Urgency::kFirst);
 }
 
-// A waiting job whose dependencies are all over may run already, launched by an earlier leader: it is known
-// as released before the first heartbeat is looked at, or its tasks would be stopped as nobody's. `tick` goes
-// on when that is decided.
+// A waiting job whose dependencies are all over may already have been released and launched by an earlier
+// leader. Its state must be known before the first heartbeat is processed, or its tasks would be stopped as
+// unknown. `tick` finishes the loading once the states are known.
 void Scheduler::load_dependencies() {
   std::vector<Job*> waiting;
   for (auto& [id, job] : context_.jobs.all())
     if (job->state == JobState::kWaiting) waiting.push_back(job.get());
   for (Job* job : waiting)
     if (job->state == JobState::kWaiting) dependencies_.watch(*job);
-  if (dependencies_.release_decided()) return loaded();
+  if (dependencies_.release_states_known()) return finish_loading();
   loading_dependencies_ = true;
 }
 
-// The ledger is complete: works out what earlier leaders may have left running, and begins to reconcile.
-void Scheduler::loaded() {
+// The ledger is loaded: determines what earlier leaders may have left running and starts to reconcile.
+void Scheduler::finish_loading() {
   loading_dependencies_ = false;
   list_unreconciled_machines();
   settle_loaded_jobs();
   unreconciled_.charge_quota();
-  expect_old_cancelled_work_gone();
-  context_.cancellations.change_log_read(election_.last_renewed());
-  const double round = context_.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  track_previously_cancelled_jobs();
+  context_.cancellations.on_change_log_read_finished(election_.last_renewal_sent_at());
+  const double round =
+      context_.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   reconcile_until_ =
-      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kNobodyYetS));
+      context_.now.steady + (unreconciled_.count() > 0 ? round : std::min(round, c::kEmptyFleetReconcileS));
   spdlog::info("ledger read: {} jobs, {} machines", context_.jobs.all().size(),
                context_.machines.all().size());
   set_phase(LeaderPhase::kReconciling);
-  const auto early = std::exchange(early_, {});
+  const auto early = std::exchange(early_heartbeats_, {});
   for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
-// Machines of earlier leaders are unreconciled, unless their lease has expired for certain.
+// Registers the machines of earlier leaders as unreconciled, unless their lease has certainly expired, and
+// plans probes of those with a known address.
 void Scheduler::list_unreconciled_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
-    know_type(machine);
-    if (machine.unanswered_since_ms && context_.now.steady > lease_over_at(machine))
+    set_capacity_from_catalog(machine);
+    if (machine.unanswered_since_ms && context_.now.steady > lease_expired_by(machine))
       machine.unreconciled = false;
     if (!machine.unreconciled) continue;
     unreconciled_.add(machine);
-    if (!machine.addr.empty()) direct_.plan_probe(name);
+    if (!machine.addr.empty()) direct_commands_.plan_probe(name);
   }
 }
 
-// Ends the jobs that are over already, and counts the others as arrived.
+// Finishes jobs that are already over and records the arrival of active ones.
 void Scheduler::settle_loaded_jobs() {
   for (auto& [id, job] : context_.jobs.all()) {
-    // The list may have been made just before another controller withdrew the job.
+    // Another controller may have cancelled the job just after the list was read.
     if (const auto state = context_.jobs.final_state(id); state && !job->over()) {
-      job_over(*job, *state);
+      finish_job(*job, *state);
       read_job(id);
     }
     if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
-    if (job->state == JobState::kActive) arrived(*job);
+    if (job->state == JobState::kActive) record_arrival(*job);
   }
 }
 
-// Any machine that has proved nothing yet may hold tasks of what was cancelled under an earlier leader, and
-// one that hangs also after its lease.
-void Scheduler::expect_old_cancelled_work_gone() {
+// An unreconciled machine may hold tasks of jobs that were cancelled under an earlier leader. So may a
+// machine whose heartbeats are not answered, even after its lease has expired: a hung machine does not stop
+// its tasks.
+void Scheduler::track_previously_cancelled_jobs() {
   for (const auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kOver || job->final_state != bookkeeping::FinalState::kCancelled) continue;
     for (auto& [name, machine] : context_.machines.all())
       if ((machine.unreconciled || machine.unanswered_since_ms) &&
           kind_allowed(job->spec, machine.type, machine.zone, machine.spot))
-        cancelled_work_.expect_gone(machine, *job, began_);
+        cancelled_work_.track(machine, *job, term_began_at_);
   }
 }
 
-// A full round: every machine that an earlier leader may have used has proved what is on it, or does not
-// answer.
+// Returns whether the round of heartbeats is complete: every machine that an earlier leader may have used has
+// reported its tasks or failed to answer a probe, or the time for the round is over.
 bool Scheduler::reconciled() {
   const double now = context_.now.steady;
   if (now >= reconcile_until_) return true;
   if (now < next_reconcile_check_) return false;
-  next_reconcile_check_ = now + c::kReconcileCheckS;
+  next_reconcile_check_ = now + c::kReconcileCheckIntervalS;
   bool any = false;
   for (const auto& [name, machine] : context_.machines.all()) {
-    // One unanswered probe is enough here: an unresponsive machine proves nothing by being waited for, and
-    // what may be on it stays blocked until it does.
+    // One unanswered probe is enough: waiting for an unresponsive machine brings no information, and jobs
+    // that may have tasks on it stay blocked until it is reconciled.
     if (machine.unreconciled && machine.probe_failures == 0) return false;
-    any = any || machine.saw_term;
+    any = any || machine.showed_token;
   }
   return any;
 }
 
-void Scheduler::know_type(Machine& machine) {
+void Scheduler::set_capacity_from_catalog(Machine& machine) {
   const auto found = context_.types.find(machine.type);
   if (found == context_.types.end()) return;
   machine.cpus = found->second.cpus;
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -38,22 +38,22 @@
   };
   const auto used = [&context](const std::string& team) {
     const auto usage = context.quota.usage(team);
-    return quota::Amount{std::llround(usage.cpus * c::kThousandths),
-                         std::llround(usage.gpus * c::kThousandths)};
+    return quota::Amount{std::llround(usage.cpus * c::kThousandthsPerUnit),
+                         std::llround(usage.gpus * c::kThousandthsPerUnit)};
   };
   return {job, used};
 }
 
 // ---------------------------------------------------------------- leadership
 
-void QuotaLeases::elected() {
+void QuotaLeases::begin_leadership() {
   if (!options_.enabled) return;
   ++generation_;
   lessee_.reset(context_.now.steady);
   lessor_.begin(election_.term(), context_.now.steady);
 }
 
-void QuotaLeases::lost() {
+void QuotaLeases::end_leadership() {
   if (!options_.enabled) return;
   ++generation_;
   lessor_.end();
@@ -67,55 +67,59 @@
   if (!election_.valid()) return;
   if (lessor_.needs_loading() && now >= next_load_) load();
   lessor_.tick(now);
-  carry_out_writes();
+  submit_due_writes();
   send_lessor_messages();
 }
 
 // ---------------------------------------------------------------- lessee
 
-bool QuotaLeases::lessor_understands(const std::string& leader) const {
+bool QuotaLeases::leader_serves_leases(const std::string& leader) const {
   return !leader.empty() && leader != context_.settings.member && versions_.serves_quota_leases(leader);
 }
 
 void QuotaLeases::renew(const std::string& leader) {
-  if (!lessor_understands(leader)) return;
-  next_renewal_ = context_.now.steady + std::min(c::kLeaseRenewS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
+  if (!leader_serves_leases(leader)) return;
+  next_renewal_ =
+      context_.now.steady + std::min(c::kLeaseRenewIntervalS, options_.ttl_s / c::kLeaseRenewalsPerTtl);
   send_(leader, quota::encode(lessee_.renewal(context_.now.steady)));
 }
 
-void QuotaLeases::grant_submission(const std::string& leader, const std::string& body) {
-  if (!options_.enabled || !lessor_understands(leader)) return;
+void QuotaLeases::grant_from_lease(const std::string& leader, const std::string& body) {
+  if (!options_.enabled || !leader_serves_leases(leader)) return;
   const auto parsed = protocol::parse_job(body);
   if (!parsed.spec) return;
   const auto* team = context_.settings.team(parsed.spec->team);
   if (team == nullptr || team->cpus_max >= c::kAmountMax) return;
   if (!lessee_.grant(*parsed.spec, context_.now.steady)) return;
-  context_.metrics.record(Metrics::Spread::kGrantWait, 0);
+  context_.metrics.record(Metrics::Distribution::kGrantWait, 0);
   while (const auto message = lessee_.new_grants()) send_(leader, quota::encode(*message));
 }
 
 // ---------------------------------------------------------------- frames
 
-bool QuotaLeases::take(const std::string& member, std::uint64_t incarnation, const std::string& body) {
-  // A controller without the switch takes no part: its lessees' leases simply end.
+bool QuotaLeases::on_peer_message(const std::string& member, std::uint64_t incarnation,
+                                  const std::string& body) {
+  // A controller with quota leases disabled ignores these messages, so the leases of its lessees expire.
   if (!options_.enabled) return true;
-  return quota::is_lessor_message(body) ? take_lessor(member, body) : take_lessee(member, incarnation, body);
+  return quota::is_lessor_message(body) ? on_lessor_message(member, body)
+                                        : on_lessee_message(member, incarnation, body);
 }
 
-bool QuotaLeases::take_lessee(const std::string& member, std::uint64_t incarnation, const std::string& body) {
+bool QuotaLeases::on_lessee_message(const std::string& member, std::uint64_t incarnation,
+                                    const std::string& body) {
   const auto message = quota::decode_lessee(body);
   if (!message) {
     lessor_.bad_message();
     return false;
   }
-  // A leader that stood still and is none any more must not renew anything.
+  // A leader that was paused until its own lease expired must not renew quota leases.
   if (!election_.valid()) return true;
   if (const auto reply = lessor_.take(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
   return true;
 }
 
-bool QuotaLeases::take_lessor(const std::string& member, const std::string& body) {
+bool QuotaLeases::on_lessor_message(const std::string& member, const std::string& body) {
   const auto message = quota::decode_lessor(body);
   if (!message) {
     lessor_.bad_message();
@@ -154,7 +158,7 @@
                       });
 }
 
-void QuotaLeases::carry_out_writes() {
+void QuotaLeases::submit_due_writes() {
   for (auto& due : lessor_.take_writes(context_.now.steady)) write(std::move(due));
 }
 
@@ -169,16 +173,16 @@
         else if (outcome != WriteOutcome::kLost)
           lessor_.not_written(key, outcome == WriteOutcome::kConflict);
       },
-      bookkeeping::WriteClass::kFleet);
+      bookkeeping::WritePriority::kFleet);
 }
 
-// ---------------------------------------------------------------- watching it
+// ---------------------------------------------------------------- monitoring
 
 void QuotaLeases::set_gauges() {
   if (!options_.enabled) return;
   auto& metrics = context_.metrics;
   const auto cpus = [](const quota::Amount& amount) {
-    return static_cast<double>(amount.cpus) / c::kThousandths;
+    return static_cast<double>(amount.cpus) / c::kThousandthsPerUnit;
   };
   const auto& mine = lessee_.counters();
   metrics.gauge("quota_lease_valid", lessee_.valid(context_.now.steady) ? 1 : 0);
--- a/src/coordination/routing/direct_calls.cpp
+++ b/src/coordination/routing/direct_calls.cpp
@@ -28,15 +28,15 @@
   probe.commands = call.commands;
   probe.term = election_.term();
   const std::string follower = peers_.next_direct_call_follower(context_.now.steady);
-  if (follower.empty()) return carry_out(probe);
-  delegated_[call.id] = context_.now.steady + c::kDelegateS;
+  if (follower.empty()) return execute_call(probe);
+  delegated_[call.id] = context_.now.steady + c::kDelegatedCallTimeoutS;
   frames_.send(follower, std::move(probe));
 }
 
-void DirectCalls::carry_out(const PeerMessage& probe) {
-  const std::string& requester = probe.member;  // empty: this leader itself
-  // Calls for others must not exhaust the connections that this controller needs for its own clients.
-  const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketPart);
+void DirectCalls::execute_call(const PeerMessage& probe) {
+  const std::string& requester = probe.member;  // empty if this leader makes its own call
+  // Calls for other controllers must not exhaust the connections that this controller needs for its clients.
+  const auto limit = static_cast<std::size_t>(context_.settings.max_connections / c::kDirectSocketDivisor);
   if (!requester.empty() && open_calls_ >= limit) return finish(requester, probe.request, 0, nullptr);
   ++open_calls_;
   protocol::Call call;
@@ -45,7 +45,7 @@
   call.method = "POST";
   call.target = n::kPathCommands;
   call.body = protocol::commands_json(probe.term, probe.commands, probe.base_seq);
-  call.timeout_s = c::kDirectTimeoutS;
+  call.timeout_s = c::kDirectCallTimeoutS;
   context_.calls.send(std::move(call),
                       [this, requester, id = probe.request](const protocol::CallResult& result) {
                         --open_calls_;
@@ -58,7 +58,7 @@
 
 void DirectCalls::finish(const std::string& requester, std::uint64_t id, int status,
                          const protocol::Heartbeat* heartbeat) {
-  if (requester.empty()) return scheduler_.direct_answer(id, status, heartbeat);
+  if (requester.empty()) return scheduler_.handle_direct_answer(id, status, heartbeat);
   PeerMessage result;
   result.kind = PeerKind::kProbeResult;
   result.request = id;
@@ -70,10 +70,10 @@
 }
 
 void DirectCalls::on_peer_result(const PeerMessage& result) {
-  // A result that comes after its deadline was reported as unanswered already.
+  // A call whose deadline has passed was already reported as unanswered.
   if (delegated_.erase(result.request) == 0) return;
-  scheduler_.direct_answer(result.request, static_cast<int>(result.status),
-                           result.status != 0 ? &result.heartbeat : nullptr);
+  scheduler_.handle_direct_answer(result.request, static_cast<int>(result.status),
+                                  result.status != 0 ? &result.heartbeat : nullptr);
 }
 
 void DirectCalls::tick() {
@@ -82,7 +82,7 @@
     if (context_.now.steady >= deadline) overdue.push_back(id);
   for (const auto id : overdue) {
     delegated_.erase(id);
-    scheduler_.direct_answer(id, 0, nullptr);
+    scheduler_.handle_direct_answer(id, 0, nullptr);
   }
 }
 
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages between controllers about requests: what others forward to this leader, and what the leader
-/// answers to what was forwarded.
+/// Handlers of messages between controllers about requests: requests forwarded to this controller as leader,
+/// and the leader's answers to requests that this controller forwarded.
 #include <optional>
 #include <string_view>
 #include <utility>
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A job's state, as a user hears it.
+/// A job's state as it is reported to users.
 struct ReportedState {
   protocol::JobId job = 0;
   std::string state;
@@ -61,14 +61,14 @@
   PendingRequest request;
   request.kind = PendingRequest::Kind::kHeartbeat;
   request.peer = PendingRequest::PeerOrigin{message.member, message.request};
-  request.deadline = context_.now.steady + c::kParkS;
+  request.deadline = context_.now.steady + c::kHeartbeatParkTimeoutS;
   const RequestKey key = pending_.add(std::move(request));
   const protocol::Heartbeat& heartbeat = message.heartbeat;
   if (scheduler_.phase() == LeaderPhase::kNone) return refuse_heartbeat(key, kNotLeading);
   if (message.kind == PeerKind::kHeartbeat) return scheduler_.heartbeat(key, heartbeat);
   if (!scheduler_.unchanged_heartbeat(key, heartbeat.machine, heartbeat.agent_epoch, heartbeat.seq,
                                       heartbeat.fencing_token, message.base_seq))
-    refuse_heartbeat(key, kNeededInFull);
+    refuse_heartbeat(key, kFullHeartbeatRequired);
 }
 
 void RequestRouter::on_commands(const PeerMessage& message) {
@@ -78,9 +78,9 @@
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == kNeededInFull) {
-    // The leader's in-memory state stands on another heartbeat than the one that was named to it.
-    pending_.require_in_full(message.request);
+  if (message.status == kFullHeartbeatRequired) {
+    // The last heartbeat that the leader has of this machine is not the one that was referred to.
+    pending_.require_full_heartbeat(message.request);
     return route(message.request);
   }
   if (message.status == 200)
@@ -97,20 +97,21 @@
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == 200 && request->target != n::kPathJobs) learn_final_state(message.body);
+  if (message.status == 200 && request->target != n::kPathJobs) record_final_state(message.body);
   answer(message.request, static_cast<int>(message.status), static_cast<int>(message.retry_after_s),
          message.body);
 }
 
-// Final answers are durable, so they may be kept and given here from now on.
-void RequestRouter::learn_final_state(const std::string& job_body) {
+// Final states are durable, so this controller may cache them and answer later polls itself.
+void RequestRouter::record_final_state(const std::string& job_body) {
   const auto reported = parse_reported_state(job_body);
   if (!reported) return;
   if (reported->state == n::kStateDone)
     context_.jobs.remember_final(reported->job, bookkeeping::FinalState::kDone);
   if (reported->state == n::kStateCancelled) {
     scheduler_.on_cancelled_elsewhere(reported->job);
-    // The leader may give this answer, and with it this controller does too.
+    // The leader announced the cancellation before it answered. This controller now reports it to a user
+    // as well, so it has to announce it, too.
     announce_cancellation(reported->job);
   }
 }
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Routing of requests, and their answers. The messages of other controllers about requests are in
+/// Routes requests and sends their answers. The handlers of other controllers' messages about requests are in
 /// forwarded_requests.cpp.
 #include "coordination/routing/request_router.hpp"
 
@@ -16,8 +16,9 @@
 using protocol::PeerMessage;
 
 namespace {
-/// Cheaper than reading the whole description: no other field has a name like this.
-bool names_dependencies(const std::string& body) {
+/// Searches for the quoted field name, which is cheaper than parsing the description. No other field has this
+/// name.
+bool mentions_dependencies(const std::string& body) {
   return body.find(std::string("\"") + n::kDependencies + "\"") != std::string::npos;
 }
 }  // namespace
@@ -31,23 +32,24 @@
       job_requests_(parts.job_requests),
       peers_(parts.peers),
       frames_(parts.frames),
-      pending_((context_.random() >> c::kKeyBits) + 1),
-      forwarded_heartbeats_(context_.per_machine(c::kLastHeartbeatsPerMb)) {}
+      pending_((context_.random() >> c::kRequestKeyShiftBits) + 1),
+      forwarded_heartbeats_(context_.max_machine_entries(c::kLastHeartbeatsPerMb)) {}
 
 // ---------------------------------------------------------------- requests by HTTP
 
 RequestRouter::Admission RequestRouter::accept_user_request(const protocol::HttpRequest& request,
                                                             const std::string& path,
                                                             PendingRequest::Kind kind) {
-  // Polls take no place from submissions: a flood of them once had these turned away.
-  if (pending_.in_progress(kind) >= context_.per_memory(c::kUserRequestsPerMb)) return Admission::kTooMany;
+  // Polls and changes have separate limits: with a common limit a flood of polls once caused submissions to
+  // be refused.
+  if (pending_.in_progress(kind) >= context_.max_entries(c::kUserRequestsPerMb)) return Admission::kTooMany;
   PendingRequest pending;
   pending.kind = kind;
   pending.method = request.method;
   pending.target = path;
   pending.body = request.body;
   pending.token = request.token;
-  pending.deadline = context_.now.steady + c::kUserDeadlineS;
+  pending.deadline = context_.now.steady + c::kUserRequestTimeoutS;
   route(pending_.add(std::move(pending)));
   return Admission::kAdmitted;
 }
@@ -57,7 +59,7 @@
   pending.kind = PendingRequest::Kind::kHeartbeat;
   pending.heartbeat = std::move(heartbeat);
   pending.token = token;
-  pending.deadline = context_.now.steady + c::kParkS;
+  pending.deadline = context_.now.steady + c::kHeartbeatParkTimeoutS;
   route(pending_.add(std::move(pending)));
 }
 
@@ -68,7 +70,7 @@
     heartbeats_in_window_ = 0;
   }
   ++heartbeats_in_window_;
-  const auto limit = static_cast<std::size_t>(context_.settings.cpu_share * c::kDirectHeartbeatsPerCore);
+  const auto limit = static_cast<std::size_t>(context_.settings.cpu_share * c::kOwnHeartbeatRatePerCore);
   return heartbeats_in_window_ <= limit ? std::string() : peers_.next_heartbeat_follower(now);
 }
 
@@ -78,8 +80,8 @@
   return election_.role() == Role::kLeading ? context_.settings.member : peers_.leader(context_.now.steady);
 }
 
-// Without the state service and without any other controller nobody will lead from here: workers should go
-// elsewhere.
+// A controller that reaches neither the state service nor any peer can't become the leader or learn of one,
+// so workers should use another controller.
 bool RequestRouter::leader_may_appear() const {
   const double now = context_.now.steady;
   return context_.state.reachable(now) || peers_.any_in_contact(now);
@@ -94,27 +96,30 @@
     return leader.empty() ? park(key) : forward_heartbeat(key, leader);
   }
   if (leader.empty() || !peers_.is_ready(leader)) return serve(key);
-  // A leader of an older version would overlook what the job needs, and run it early.
-  if (names_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
+  // A leader of an older version ignores dependencies and would start the job too early.
+  if (mentions_dependencies(request.body) && !versions_.understands_dependencies(leader)) return serve(key);
   forward_user_request(key, leader);
 }
 
-// A heartbeat may wait a little for a leader: the sooner it has a full round, the sooner it places.
+// Keeps the heartbeat until there is a leader. The sooner a new leader has a heartbeat of every machine, the
+// sooner it can place work.
 void RequestRouter::park(RequestKey key) {
   if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
-  if (pending_.parked() >= context_.per_machine(c::kParkedPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.parked() >= context_.max_machine_entries(c::kParkedHeartbeatsPerMb))
+    return refuse_heartbeat(key, 503);
   pending_.park(key);
 }
 
 void RequestRouter::forward_heartbeat(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_machine(c::kForwardPerMb)) return refuse_heartbeat(key, 503);
+  if (pending_.forwarded() >= context_.max_machine_entries(c::kForwardedRequestsPerMb))
+    return refuse_heartbeat(key, 503);
   const PendingRequest& request = pending_.at(key);
   pending_.forward(key, leader, request.deadline);
   PeerMessage message;
   message.kind = PeerKind::kHeartbeat;
   message.request = key;
   message.heartbeat = request.heartbeat;
-  if (!request.in_full) {
+  if (!request.full_heartbeat_required) {
     if (const auto base = forwarded_heartbeats_.unchanged_since(leader, request.heartbeat)) {
       message.kind = PeerKind::kUnchangedHeartbeat;
       message.base_seq = *base;
@@ -124,10 +129,10 @@
 }
 
 void RequestRouter::forward_user_request(RequestKey key, const std::string& leader) {
-  if (pending_.forwarded() >= context_.per_memory(c::kForwardPerMb))
+  if (pending_.forwarded() >= context_.max_entries(c::kForwardedRequestsPerMb))
     return answer(key, 503, c::kRetryAfterS, protocol::error_json("too many requests"));
   const PendingRequest& request = pending_.at(key);
-  if (request.target == n::kPathJobs) quota_leases_.grant_submission(leader, request.body);
+  if (request.target == n::kPathJobs) quota_leases_.grant_from_lease(leader, request.body);
   pending_.forward(key, leader, context_.now.steady + c::kForwardTimeoutS);
   PeerMessage message;
   message.kind = PeerKind::kForward;
@@ -139,7 +144,7 @@
 }
 
 void RequestRouter::serve(RequestKey key) {
-  pending_.settle_here(key);
+  pending_.mark_local(key);
   const PendingRequest& request = pending_.at(key);
   if (request.is_heartbeat()) return scheduler_.heartbeat(key, pending_.take_heartbeat(key));
   const auto route = parse_route(request.method, request.target);
@@ -149,20 +154,21 @@
     if (route->target == RequestTarget::kCancellation) return job_requests_.cancel(route->job, reply);
     if (route->target == RequestTarget::kPoll) return job_requests_.poll(route->job, reply);
   }
-  // Only another controller's message gets here: requests by HTTP were checked when they came.
+  // Only a request that another controller forwarded can have an invalid route: requests by HTTP were checked
+  // on arrival.
   answer(key, 404, 0, protocol::error_json("no such job"));
 }
 
 // ---------------------------------------------------------------- events
 
-void RequestRouter::settle_overdue() {
+void RequestRouter::resolve_overdue() {
   const double now = context_.now.steady;
   for (const auto key : pending_.overdue_keys(now)) {
     switch (pending_.overdue(key, now)) {
       case PendingRequests::Overdue::kNo:
-        break;  // answered together with an earlier one
+        break;  // answered while an earlier request of this loop was handled
       case PendingRequests::Overdue::kForward:
-        serve(key);  // the leader does not answer
+        serve(key);  // the leader did not answer in time
         break;
       case PendingRequests::Overdue::kAnswer:
         if (pending_.at(key).is_heartbeat())
@@ -174,7 +180,7 @@
   }
 }
 
-void RequestRouter::retry_parked() {
+void RequestRouter::retry_parked_heartbeats() {
   if (leader().empty()) return;
   for (const auto key : pending_.parked_keys()) route(key);
 }
@@ -185,7 +191,8 @@
 
 // ---------------------------------------------------------------- answers
 
-// The one place where a user hears that a job is cancelled, or another controller does for its user.
+// All answers that report a cancellation pass through this function, both those to users and those to
+// controllers that forwarded a user's request. The cancellation is announced to the other controllers first.
 void RequestRouter::answer_user(RequestKey key, const UserAnswer& reply) {
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
@@ -197,11 +204,11 @@
   answer(key, reply.status, reply.retry_after_s, reply.body);
 }
 
-// All hear of it before the user does: whoever leads, or is about to, must not answer anything older, and
-// whoever answers heartbeats stops its tasks. Who misses it gets it with the next status, until it
-// acknowledges it.
+// Announces the cancellation to all other controllers before the user is answered. Otherwise the leader, or a
+// controller about to lead, could still report an older state, and a controller that answers heartbeats could
+// let the job's tasks run on. The announcement is sent again with each status until the peer acknowledges it.
 void RequestRouter::announce_cancellation(protocol::JobId id) {
-  if (!context_.cancellations.announce(id)) return;
+  if (!context_.cancellations.record_announcement(id)) return;
   for (const auto& [member, peer] : peers_.all()) {
     PeerMessage message;
     message.kind = PeerKind::kCancellationsAnnounced;
@@ -214,7 +221,7 @@
 
 void RequestRouter::answer(RequestKey key, int status, int retry_after_s, std::string body) {
   const auto request = pending_.remove(key);
-  if (!request) return;  // its deadline passed before
+  if (!request) return;  // answered earlier, when its deadline passed
   if (!request->peer) {
     context_.out.replies.push_back({request->token, status, retry_after_s, std::move(body), false});
     return;
@@ -231,7 +238,7 @@
 void RequestRouter::answer_heartbeat(RequestKey key, int status, std::vector<protocol::Command> commands,
                                      std::uint64_t term) {
   const auto request = pending_.remove(key);
-  if (!request) return;  // its deadline passed before
+  if (!request) return;  // answered earlier, when its deadline passed
   if (!request->peer) {
     std::string body = status == 200 ? protocol::commands_json(term, commands) : "{}";
     context_.out.replies.push_back({request->token, status, 0, std::move(body), false});
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: places tasks of arrays on the machines whose heartbeats show free capacity. docs/design.md,
-/// section "What was added", "Arrays".
+/// Scheduler: places array tasks on machines with free capacity. docs/design.md, section "What was added",
+/// "Arrays".
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -15,7 +15,7 @@
 using bookkeeping::Machine;
 using bookkeeping::TaskRun;
 
-void Scheduler::plan(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
+void Scheduler::plan_run(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
   TaskRun run;
   run.machine = machine.name;
   run.attempt = attempt;
@@ -23,8 +23,8 @@
   placements_.add_run(job, index, std::move(run), machine);
 }
 
-// Whether a task of the array may go to the machine now.
-bool Scheduler::array_fits(const Job& job, const Machine& machine, const Resources& free) {
+// Whether a task of the array may be placed on the machine now.
+bool Scheduler::can_place_array_task(const Job& job, const Machine& machine, const Resources& free) {
   const double now = context_.now.steady;
   if (job.state != JobState::kActive || now < job.backoff_until || job.unplaced() == 0 || !job.next_task())
     return false;
@@ -33,92 +33,98 @@
     return false;
   if (const auto avoided = job.avoid.find(machine.name); avoided != job.avoid.end() && now < avoided->second)
     return false;
-  const auto kept = gang_kept_.find(job.spec.team);
-  if (!context_.quota.allows(job.spec, 1, kept == gang_kept_.end() ? 0 : kept->second)) return false;
-  // A job that failed on several machines is tried with a single task until one succeeds. One that goes
-  // before the others by its age begins with a single task, too: the rest keeps its place in the order of due
-  // times. Whole arrays let through by age made others late that were in time.
+  const auto withheld = withheld_quota_cpus_.find(job.spec.team);
+  if (!context_.quota.allows(job.spec, 1, withheld == withheld_quota_cpus_.end() ? 0 : withheld->second))
+    return false;
+  // A job that failed on several machines runs one task at a time until one succeeds. A job that is ranked
+  // first because of its waiting time also starts with one task, and its other tasks are ranked by due time
+  // again: when whole arrays were preferred by waiting time, other arrays missed their due times.
   const bool one_task_only =
       static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
   if (one_task_only && !job.runs.empty()) return false;
-  if (slots_by_count(context_, job, machine) == 0) return false;
+  if (slots_within_policy(context_, job, machine) == 0) return false;
   return !(job.spec.one_zone || job.spec.spread) ||
-         zone_allowed(job.spec, zones_of(context_, job, placements_.unknown_task_machines()), machine.zone);
+         zone_allowed(job.spec, count_tasks_by_zone(context_, job, placements_.unknown_task_machines()),
+                      machine.zone);
 }
 
-// The position in one team's queue while a machine is filled.
-struct Scheduler::ArrayTurn {
+// Position in the queue of one team while tasks are placed on a machine.
+struct Scheduler::QueueCursor {
   const std::vector<Job*>* queue;
   std::size_t position = 0;
   Rank rank;
   Job& job() const { return *(*queue)[position]; }
 };
 
-// Moves on to the team's first job that may go to the machine; false when there is none.
-bool Scheduler::find_fitting_array(ArrayTurn& turn, const Machine& machine, const Resources& free) {
-  for (; turn.position < turn.queue->size(); ++turn.position) {
-    if (!array_fits(turn.job(), machine, free)) continue;
-    turn.rank = queue_order_.rank(turn.job(), 1);
+// Advances the cursor to the next job of its queue with a task that may be placed on the machine. Returns
+// false if there is none.
+bool Scheduler::advance_to_fitting_array(QueueCursor& cursor, const Machine& machine, const Resources& free) {
+  for (; cursor.position < cursor.queue->size(); ++cursor.position) {
+    if (!can_place_array_task(cursor.job(), machine, free)) continue;
+    cursor.rank = queue_order_.rank(cursor.job(), 1);
     return true;
   }
   return false;
 }
 
-// Whether arrays may use the machine's free capacity at present.
+// Whether arrays may use the free capacity of the machine now.
 bool Scheduler::open_to_arrays(Machine& machine) {
   if (!takes_work(context_, machine) || machine.draining) return false;
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
-  if ((queue_order_.changed() || placements_.array_unqueued()) && queue_order_.sort_due()) sort_queues();
+  if ((queue_order_.changed() || placements_.has_unqueued_array_task()) && queue_order_.sort_due())
+    sort_queues();
   if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
-  survey_.refresh_if_due(queue_order_.queues());
-  // Capacity that just came free is the waiting gangs' first: arrays that took it would be stopped again at
-  // once.
+  capacity_survey_.refresh_if_due(queue_order_.queues());
+  // Waiting gangs are considered first for capacity that was just freed: array tasks placed there could be
+  // preempted again at once.
   if (!machine.offered && !waiting_gangs_.empty() && arrivals_.suits_gangs(machine)) return false;
-  return !survey_.arrays_fit_better_machines(machine);
+  return !capacity_survey_.arrays_fit_preferred_machines(machine);
 }
 
-// Arrays go into the capacity that the machine's own heartbeat shows, in the order of the teams' queues.
-// Returns the number of tasks placed.
-std::uint32_t Scheduler::fill(Machine& machine) {
+// Places array tasks on the machine in the order of their ranks until nothing more fits. Returns the number
+// of tasks placed.
+std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
   Resources free = free_resources(context_, machine);
-  std::vector<ArrayTurn> turns;
+  std::vector<QueueCursor> cursors;
   for (const auto& [team, queue] : queue_order_.queues()) {
-    ArrayTurn turn{&queue, 0, {}};
-    if (find_fitting_array(turn, machine, free)) turns.push_back(turn);
+    QueueCursor cursor{&queue, 0, {}};
+    if (advance_to_fitting_array(cursor, machine, free)) cursors.push_back(cursor);
   }
   std::uint32_t placed = 0;
-  while (!turns.empty()) {
+  while (!cursors.empty()) {
     const auto best = std::min_element(
-        turns.begin(), turns.end(),
-        [](const ArrayTurn& left, const ArrayTurn& right) { return left.rank < right.rank; });
+        cursors.begin(), cursors.end(),
+        [](const QueueCursor& left, const QueueCursor& right) { return left.rank < right.rank; });
     Job& job = best->job();
-    plan(job, *job.next_task(), machine, next_attempt());
+    plan_run(job, *job.next_task(), machine, next_attempt());
     free.take(job.spec);
-    survey_.array_task_placed(job.spec);
+    capacity_survey_.array_task_placed(job.spec);
     ++placed;
-    // The capacity is smaller now, and the team's share larger.
-    const auto placed_turn = static_cast<std::size_t>(best - turns.begin());
-    for (std::size_t i = turns.size(); i-- > 0;) {
-      const bool still_fits = i != placed_turn && free.fits(turns[i].job().spec);
-      if (!still_fits && !find_fitting_array(turns[i], machine, free))
-        turns.erase(turns.begin() + static_cast<std::ptrdiff_t>(i));
+    // The machine has less free capacity now, and the job's team a larger share in use.
+    const auto placed_cursor = static_cast<std::size_t>(best - cursors.begin());
+    for (std::size_t i = cursors.size(); i-- > 0;) {
+      const bool still_fits = i != placed_cursor && free.fits(cursors[i].job().spec);
+      if (!still_fits && !advance_to_fitting_array(cursors[i], machine, free))
+        cursors.erase(cursors.begin() + static_cast<std::ptrdiff_t>(i));
     }
   }
   return placed;
 }
 
-// With long heartbeat intervals new work would wait for most of one: the leader launches it by direct
-// commands on machines with free capacity.
-void Scheduler::fill_idle() {
-  if (!direct_.launches_directly() || queue_order_.queues().empty() || survey_.array_demand_cpus() <= 0)
+// Where launches are direct, places array tasks on machines with free capacity and launches them by direct
+// command. With long heartbeat intervals, they would otherwise wait for the next heartbeat for most of an
+// interval.
+void Scheduler::place_arrays_directly() {
+  if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
+      capacity_survey_.array_demand_cpus() <= 0)
     return;
   for (auto& [name, machine] : context_.machines.all()) {
-    if (!direct_.can_send() || !direct_.within_budget()) return;
-    if (machine.open_probes > 0 || !machine.recorded || machine.undelivered > 0 ||
-        machine.direct.size() >= c::kDirectListMax)
+    if (!direct_commands_.can_send() || !direct_commands_.within_budget()) return;
+    if (machine.open_probes > 0 || !machine.recorded || machine.undelivered_commands > 0 ||
+        machine.direct.size() >= c::kListedDirectAttemptsMax)
       continue;
-    if (fill(machine) > 0) launch_directly(machine);
+    if (place_arrays(machine) > 0) launch_directly(machine);
   }
 }
 
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: how a gang goes from reservations to running, and how it is stopped. docs/design.md, section
-/// "What was kept".
+/// Scheduler: the states of a gang from queued to running, and how gangs and runs are stopped.
+/// docs/design.md, section "What was kept".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -21,17 +21,18 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-void Scheduler::check_gang(Job& job) {
+void Scheduler::advance_gang(Job& job) {
   const double now = context_.now.steady;
   const bool complete_set = job.runs.size() == job.spec.tasks;
   switch (job.gang) {
     case GangState::kQueued:
       if (job.runs.empty()) return;
-      // Taken over from an earlier leader: whole, or it has to start again.
+      // An earlier leader launched it. It goes on if all tasks run; otherwise all are stopped and it is
+      // queued again.
       if (complete_set)
-        JobLedger::set_gang(job, GangState::kRunning, now);
+        JobLedger::set_gang_state(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
-        stop_gang(job, StopMode::kAtOnce, "found incomplete by a new leader");
+        stop_gang(job, StopMode::kImmediate, "a new leader found only some of its tasks");
       return;
     case GangState::kReserving: {
       const auto confirmed = std::count_if(job.reservations.begin(), job.reservations.end(),
@@ -41,10 +42,10 @@
           job.reservations.begin(), job.reservations.end(),
           [&](const auto& reservation) { return !reservation.confirmed && now > reservation.expires_at; });
       if (!expired) return;
-      spdlog::info("gang {}: reservations expired, queued again", name_of(job));
+      spdlog::info("gang {}: reservations expired before enough were confirmed; queued again", name_of(job));
       context_.metrics.count("reservations_expired");
       placements_.release_reservations(job);
-      JobLedger::set_gang(job, GangState::kQueued, now);
+      JobLedger::set_gang_state(job, GangState::kQueued, now);
       return;
     }
     case GangState::kLaunching: {
@@ -52,10 +53,10 @@
           complete_set && std::all_of(job.runs.begin(), job.runs.end(), [](const auto& entry) {
             return entry.second.state == RunState::kPresent;
           });
-      if (all_seen) return JobLedger::set_gang(job, GangState::kRunning, now);
+      if (all_seen) return JobLedger::set_gang_state(job, GangState::kRunning, now);
       if (now - job.gang_since >
           c::kReservationHeartbeats * context_.settings.heartbeat_interval_s + context_.settings.gang_wait_s)
-        stop_gang(job, StopMode::kAtOnce, "its tasks did not all start");
+        stop_gang(job, StopMode::kImmediate, "not all its tasks started in time");
       return;
     }
     case GangState::kRunning:
@@ -64,49 +65,50 @@
       if (job.runs.empty() && !unreconciled_.may_hold_tasks_of(job)) {
         context_.metrics.count("gangs_requeued");
         job.attempt = 0;
-        JobLedger::set_gang(job, GangState::kQueued, now);
+        JobLedger::set_gang_state(job, GangState::kQueued, now);
       }
       return;
   }
 }
 
 void Scheduler::launch_gang(Job& job) {
-  std::vector<std::string> places;
+  std::vector<std::string> machine_names;
   for (const auto& reservation : job.reservations)
-    if (reservation.confirmed && places.size() < job.spec.tasks) places.push_back(reservation.machine);
+    if (reservation.confirmed && machine_names.size() < job.spec.tasks)
+      machine_names.push_back(reservation.machine);
   placements_.release_reservations(job);
   job.attempt = next_attempt();
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i)
-    plan(job, i, *context_.machines.find(places[i]), job.attempt);
-  JobLedger::set_gang(job, GangState::kLaunching, context_.now.steady);
-  if (!direct_.launches_directly()) return;
-  for (const auto& name : std::set<std::string>(places.begin(), places.end()))
-    if (direct_.can_send()) launch_directly(*context_.machines.find(name));
+    plan_run(job, i, *context_.machines.find(machine_names[i]), job.attempt);
+  JobLedger::set_gang_state(job, GangState::kLaunching, context_.now.steady);
+  if (!direct_commands_.launches_directly()) return;
+  for (const auto& name : std::set<std::string>(machine_names.begin(), machine_names.end()))
+    if (direct_commands_.can_send()) launch_directly(*context_.machines.find(name));
 }
 
-void Scheduler::stop_run(Job& job, std::uint32_t index, double grace) {
+void Scheduler::stop_run(Job& job, std::uint32_t index, double grace_s) {
   const auto found = job.runs.find(index);
   if (found == job.runs.end()) return;
   if (found->second.state == RunState::kPlanned) {
-    placements_.remove_run(job, index);  // never sent
+    placements_.remove_run(job, index);  // the launch was never sent
     return;
   }
-  found->second.stop_grace = grace;
-  JobLedger::set_run(job, found->second, RunState::kStopping);
-  stopping_.insert(found->second.machine);
-  round_wanted_ = true;
+  found->second.stop_grace = grace_s;
+  JobLedger::set_run_state(job, found->second, RunState::kStopping);
+  machines_with_pending_stops_.insert(found->second.machine);
+  round_requested_ = true;
 }
 
 void Scheduler::stop_gang(Job& job, StopMode mode, const char* why) {
-  spdlog::info("gang {}: all stop: {}", name_of(job), why);
+  spdlog::info("gang {}: stopping all its tasks: {}", name_of(job), why);
   placements_.release_reservations(job);
-  JobLedger::set_gang(job, GangState::kStopping, context_.now.steady);
-  const double grace = mode == StopMode::kOrderly && job.spec.checkpoint_s > 0
-                           ? job.spec.save_s + context_.settings.gang_peer_s
-                           : 0;
+  JobLedger::set_gang_state(job, GangState::kStopping, context_.now.steady);
+  const double grace_s = mode == StopMode::kGraceful && job.spec.checkpoint_s > 0
+                             ? job.spec.save_s + context_.settings.gang_peer_s
+                             : 0;
   std::vector<std::uint32_t> indices;
   for (const auto& [index, run] : job.runs) indices.push_back(index);
-  for (const auto index : indices) stop_run(job, index, grace);
+  for (const auto index : indices) stop_run(job, index, grace_s);
   send_stops();
 }
 
@@ -116,11 +118,11 @@
     Job* job = context_.jobs.find(id.job);
     if (job == nullptr) continue;
     if (job->spec.gang) {
-      if (job->gang != GangState::kStopping) stop_gang(*job, StopMode::kOrderly, why);
+      if (job->gang != GangState::kStopping) stop_gang(*job, StopMode::kGraceful, why);
     } else {
       stop_run(*job, id.index,
                job->spec.checkpoint_s > 0 ? job->spec.save_s + context_.settings.gang_peer_s : 0);
-      placements_.return_task(*job, id.index);
+      placements_.requeue_task(*job, id.index);
     }
   }
   send_stops();
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Implements the rules of placement.
+/// Implements the placement rules and the mapping of gangs.
 #include "coordination/scheduling/placement.hpp"
 
 #include <algorithm>
@@ -18,13 +18,13 @@
 
 const Resources& free_resources(ControllerContext& context, Machine& machine) {
   if (!machine.free_resources_known) {
-    machine.free_resources = count_free_resources(context, machine);
+    machine.free_resources = compute_free_resources(context, machine);
     machine.free_resources_known = true;
   }
   return machine.free_resources;
 }
 
-Resources count_free_resources(ControllerContext& context, const Machine& machine) {
+Resources compute_free_resources(ControllerContext& context, const Machine& machine) {
   Resources resources{machine.cpus, machine.gpus, machine.memory_gb};
   for (const auto& task : machine.tasks)
     if (const Job* job = context.jobs.find(task.job)) resources.take(job->spec);
@@ -38,7 +38,7 @@
     if (const Job* job = context.jobs.find(unknown_task.task.job))
       resources.take(job->spec);
     else
-      return {};  // its size is unknown until it is gone
+      return {};  // the job is unknown, so the size of its task is, too
   }
   return resources;
 }
@@ -50,13 +50,14 @@
 }
 
 bool takes_work(const ControllerContext& context, const Machine& machine) {
-  const double fresh = context.settings.heartbeat_interval_s * c::kHeartbeatJitter + c::kRoundSlackS;
+  const double max_heartbeat_age_s =
+      context.settings.heartbeat_interval_s * c::kHeartbeatJitterFactor + c::kHeartbeatRoundSlackS;
   return machine.state == MachineState::kUp && !machine.cordoned && !machine.interruption_at &&
-         context.now.steady - machine.last_heartbeat < fresh && machine.cpus > 0;
+         context.now.steady - machine.last_heartbeat < max_heartbeat_age_s && machine.cpus > 0;
 }
 
-ZoneCount zones_of(ControllerContext& context, const Job& job,
-                   const std::set<std::string>& unknown_task_machines) {
+ZoneCount count_tasks_by_zone(ControllerContext& context, const Job& job,
+                              const std::set<std::string>& unknown_task_machines) {
   ZoneCount result;
   const auto add = [&](const std::string& name) {
     const auto* machine = context.machines.find(name);
@@ -90,7 +91,7 @@
   return true;
 }
 
-std::uint32_t slots_by_count(ControllerContext& context, const Job& job, const Machine& machine) {
+std::uint32_t slots_within_policy(ControllerContext& context, const Job& job, const Machine& machine) {
   std::set<protocol::JobId> present(machine.reservations);
   std::uint32_t here = 0;
   for (const auto& task : machine.tasks) {
@@ -108,8 +109,8 @@
 
 namespace {
 
-// Zones with most free capacity first, and in each the machines with most; those with the image before
-// others.
+// Sorts the zones by their free cpus and the machines of each zone by theirs, largest first. With equal free
+// cpus, machines that have the image come first.
 void sort_offers(std::vector<Offer>& offers) {
   std::map<std::string, double> zone_free_cpus;
   for (const auto& offer : offers) zone_free_cpus[offer.machine->zone] += offer.free_cpus;
@@ -119,12 +120,13 @@
     if (left_zone_cpus != right_zone_cpus) return left_zone_cpus > right_zone_cpus;
     if (left.machine->zone != right.machine->zone) return left.machine->zone < right.machine->zone;
     if (left.free_cpus != right.free_cpus) return left.free_cpus > right.free_cpus;
-    if (left.warm != right.warm) return left.warm;
+    if (left.has_image != right.has_image) return left.has_image;
     return left.machine->name < right.machine->name;
   });
 }
 
-// Leaves only the offers of the first zone that can take `needed` tasks; none if there is no such zone.
+// Keeps only the offers of the first zone with slots for `needed` tasks; removes all if there is no such
+// zone.
 void keep_one_zone(std::vector<Offer>& offers, std::uint32_t needed) {
   std::map<std::string, std::uint32_t> zone_slots;
   for (const auto& offer : offers) zone_slots[offer.machine->zone] += offer.slots;
@@ -136,23 +138,24 @@
   std::erase_if(offers, [&](const Offer& offer) { return offer.machine->zone != zone; });
 }
 
-// Distributes tasks over sorted offers.
+// Distributes tasks over sorted offers, in one or several passes.
 class GangMapper {
  public:
-  GangMapper(std::vector<Offer> offers, std::uint32_t most_tasks, std::uint32_t most_per_zone)
+  GangMapper(std::vector<Offer> offers, std::uint32_t max_tasks, std::uint32_t max_tasks_per_zone)
       : offers_(std::move(offers)),
         taken_(offers_.size()),
-        most_tasks_(most_tasks),
-        most_per_zone_(most_per_zone) {}
+        max_tasks_(max_tasks),
+        max_tasks_per_zone_(max_tasks_per_zone) {}
 
-  // Gives each machine up to `per_machine` more tasks; returns how many were placed.
-  std::uint32_t pass(std::uint32_t per_machine) {
+  // Assigns up to `per_machine` more tasks to each machine. Returns the number of tasks assigned in this
+  // pass.
+  std::uint32_t run_pass(std::uint32_t per_machine) {
     const std::uint32_t before = placed_;
-    for (std::size_t i = 0; i < offers_.size() && placed_ < most_tasks_; ++i) {
+    for (std::size_t i = 0; i < offers_.size() && placed_ < max_tasks_; ++i) {
       auto& in_zone = in_zone_[offers_[i].machine->zone];
-      const std::uint32_t tasks =
-          std::min({offers_[i].slots - taken_[i], most_per_zone_ - std::min(in_zone, most_per_zone_),
-                    most_tasks_ - placed_, per_machine});
+      const std::uint32_t tasks = std::min({offers_[i].slots - taken_[i],
+                                            max_tasks_per_zone_ - std::min(in_zone, max_tasks_per_zone_),
+                                            max_tasks_ - placed_, per_machine});
       taken_[i] += tasks;
       in_zone += tasks;
       placed_ += tasks;
@@ -169,11 +172,11 @@
 
  private:
   std::vector<Offer> offers_;
-  std::vector<std::uint32_t> taken_;  // slots of the offer with the same index
+  std::vector<std::uint32_t> taken_;  // slots in use of the offer with the same index
   std::map<std::string, std::uint32_t> in_zone_;
   std::uint32_t placed_ = 0;
-  std::uint32_t most_tasks_;
-  std::uint32_t most_per_zone_;
+  std::uint32_t max_tasks_;
+  std::uint32_t max_tasks_per_zone_;
 };
 
 }  // namespace
@@ -183,13 +186,13 @@
   std::erase_if(offers, [](const Offer& offer) { return offer.slots == 0; });
   sort_offers(offers);
   if (spec.one_zone) keep_one_zone(offers, needed);
-  const std::uint32_t most_tasks = needed + extra;
-  GangMapper mapper(std::move(offers), most_tasks, spec.spread ? (needed + 1) / 2 : most_tasks);
+  const std::uint32_t max_tasks = needed + extra;
+  GangMapper mapper(std::move(offers), max_tasks, spec.spread ? (needed + 1) / 2 : max_tasks);
   if (concentrate) {
-    mapper.pass(most_tasks);  // a machine is filled before the next
+    mapper.run_pass(max_tasks);  // fills each machine before the next one
   } else {
-    // One task a machine down the list, from the top again until nothing more fits.
-    while (mapper.pass(1) > 0) {
+    // Each pass assigns one task to each machine, until a pass finds no free slot.
+    while (mapper.run_pass(1) > 0) {
     }
   }
   if (mapper.placed() < needed) return std::nullopt;
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Largest difference in cpus that adding and subtracting amounts in different orders may leave.
+// Largest difference in cpus that is attributed to rounding: totals depend on the order of their summands.
 constexpr double kAuditTolerance = 1e-4;
 
 bool differ(double counted, double running) { return std::abs(counted - running) > kAuditTolerance; }
@@ -28,18 +28,19 @@
 void Placements::clear() {
   unknown_task_machines_.clear();
   capacity_freed_ = false;
-  array_unqueued_ = false;
+  unqueued_array_task_ = false;
 }
 
-// How long the job waited for capacity within its team's limit. Jobs of earlier leaders, and those to which
-// another controller granted capacity, were counted there.
+// Records how long the job waited for its first capacity. Jobs of earlier leaders and jobs with capacity
+// granted from a quota lease are left out: the earlier leader or the granting controller has recorded their
+// wait.
 void Placements::record_grant_wait(Job& job) {
   if (std::exchange(job.was_placed, true) || job.before || context_.quota.granted(job.spec.id)) return;
-  context_.metrics.record(Metrics::Spread::kGrantWait, context_.now.steady - job.known_at);
+  context_.metrics.record(Metrics::Distribution::kGrantWait, context_.now.steady - job.known_at);
 }
 
 void Placements::add_run(Job& job, std::uint32_t index, TaskRun run, Machine& machine) {
-  job.take_task(index);
+  job.mark_placed(index);
   job.runs.emplace(index, std::move(run));
   machine.tasks.insert({job.spec.id, index});
   machine.free_resources_known = false;
@@ -68,9 +69,9 @@
   capacity_freed_ = true;
 }
 
-void Placements::return_task(Job& job, std::uint32_t index) {
-  job.give_back(index);
-  if (!job.queued) array_unqueued_ = true;
+void Placements::requeue_task(Job& job, std::uint32_t index) {
+  job.requeue_task(index);
+  if (!job.queued) unqueued_array_task_ = true;
 }
 
 void Placements::add_reservation(Job& job, Machine& machine) {
@@ -111,7 +112,7 @@
     unknown_task_machines_.insert(machine.name);
 }
 
-bool Placements::unknown_task_shown(protocol::JobId id) const {
+bool Placements::has_unknown_tasks_of(protocol::JobId id) const {
   return std::any_of(
       unknown_task_machines_.begin(), unknown_task_machines_.end(), [&](const std::string& name) {
         const Machine* machine = context_.machines.find(name);
@@ -139,18 +140,18 @@
     const double counted_cpus = cpus_of(counted, team.name);
     const double running_cpus = cpus_of(running, team.name);
     if (differ(counted_cpus, running_cpus))
-      return "team " + team.name + " uses " + std::to_string(counted_cpus) + " cpus, the accounts say " +
-             std::to_string(running_cpus);
+      return "team " + team.name + " uses " + std::to_string(counted_cpus) +
+             " cpus, but its quota account has " + std::to_string(running_cpus);
   }
   return {};
 }
 
 std::string Placements::audit_machine(const Machine& machine) {
-  const Resources free = count_free_resources(context_, machine);
+  const Resources free = compute_free_resources(context_, machine);
   if (machine.free_resources_known && machine.unknown_tasks.empty() &&
       differ(free.cpus, machine.free_resources.cpus))
-    return "machine " + machine.name + " has " + std::to_string(free.cpus) + " cpus free, the accounts say " +
-           std::to_string(machine.free_resources.cpus);
+    return "machine " + machine.name + " has " + std::to_string(free.cpus) +
+           " cpus free, but its cached value is " + std::to_string(machine.free_resources.cpus);
   double gang_cpus = 0;
   for (const auto& task : machine.tasks)
     if (const Job* job = context_.jobs.find(task.job); job != nullptr && job->spec.gang)
@@ -161,7 +162,8 @@
       if (reservation.machine == machine.name) gang_cpus += job->spec.cpus;
   }
   if (differ(gang_cpus, machine.gang_cpus))
-    return "machine " + machine.name + ": gangs take " + std::to_string(gang_cpus);
+    return "machine " + machine.name + ": its total of gang cpus is not the recounted " +
+           std::to_string(gang_cpus);
   return {};
 }
 
@@ -170,7 +172,8 @@
     for (const auto& [index, run] : job->runs) {
       const Machine* machine = context_.machines.find(run.machine);
       if (machine == nullptr || !machine->tasks.contains({id, index}))
-        return "a run of " + protocol::job_id_text(job->spec.id) + " is on no machine's list";
+        return "a run of " + protocol::job_id_text(job->spec.id) +
+               " is missing from its machine's list of tasks";
     }
   return {};
 }
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: capacity and limits freed for a gang by stopping work of lower priority.
+/// Scheduler: preempts array tasks of lower priority to free machine capacity or quota for a gang.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -22,19 +22,19 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// The limit of a gang's team is used up: its own arrays of lower priority step back, fewest lost seconds
-// first.
+// Frees quota for a gang whose team has used its limit: stops tasks of the team's own arrays of lower
+// priority, those that lose the fewest cpu seconds first.
 void Scheduler::free_quota_for(Job& job) {
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
-  if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt) return;
-  job.next_preempt = now + c::kPreemptEveryS;
+  if (team == nullptr || now < job.quota_freed_until || now < job.next_preempt_search_at) return;
+  job.next_preempt_search_at = now + c::kPreemptSearchIntervalS;
   const auto used = context_.quota.usage(job.spec.team);
   double excess = used.cpus + job.spec.cpus * job.spec.tasks - team->cpus_max;
   struct Victim {
     Job* job;
     std::uint32_t index;
-    double lost;
+    double lost_cpu_s;
   };
   std::vector<Victim> victims;
   for (auto& [id, other] : context_.jobs.all()) {
@@ -49,38 +49,40 @@
     }
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
-    return std::tuple(a.lost, a.job->spec.id, a.index) < std::tuple(b.lost, b.job->spec.id, b.index);
+    return std::tuple(a.lost_cpu_s, a.job->spec.id, a.index) <
+           std::tuple(b.lost_cpu_s, b.job->spec.id, b.index);
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
-  if (possible < excess) return;  // other gangs use the limit: it waits for them
-  job.quota_freed_until = now + c::kReserveS;
+  if (possible < excess) return;  // other gangs use the rest of the quota: it waits for them to end
+  job.quota_freed_until = now + c::kPreemptionHoldS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
     if (excess <= 0) break;
     excess -= victim.job->spec.cpus;
     stop_run(*victim.job, victim.index, 0);
-    placements_.return_task(*victim.job, victim.index);
+    placements_.requeue_task(*victim.job, victim.index);
     ++stopped;
     context_.metrics.count("preempted");
   }
   if (stopped > 0)
-    spdlog::info("gang {}: {} tasks of its own team stopped for the team's limit", name_of(job), stopped);
+    spdlog::info("gang {}: {} tasks of its own team preempted to free the team's quota", name_of(job),
+                 stopped);
   send_stops();
 }
 
-// A machine on which the gang gets capacity if these tasks stop.
+// Tasks of one machine that have to stop to make one task of the gang fit there.
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost;  // cpu seconds of its run so far
+    double lost_cpu_s;  // used by its run so far, and lost when it stops
   };
   Machine* machine;
   std::vector<Victim> victims;
-  double lost = 0;  // of all of them
+  double lost_cpu_s = 0;  // total of the victims
 };
 
-// Whether capacity is being made for the gang already.
+// Whether a machine is already reserved for the gang after a preemption.
 bool Scheduler::has_reserved_machine(const Job& job) const {
   const auto& machines = context_.machines.all();
   return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
@@ -89,8 +91,8 @@
   });
 }
 
-// The fewest tasks of lower priority that have to stop for one task of the gang, those that lose least first.
-// Empty when no tasks on the machine are enough.
+// Selects array tasks of lower priority on the machine, those that lose the fewest cpu seconds first, until
+// one task of the gang fits. Returns nothing if it does not fit even without all of them.
 std::optional<Scheduler::PreemptionOption> Scheduler::preemption_option(const Job& job, Machine& machine) {
   using Victim = PreemptionOption::Victim;
   std::vector<Victim> candidates;
@@ -102,35 +104,37 @@
     candidates.push_back({id, ran_s * other->spec.cpus});
   }
   std::sort(candidates.begin(), candidates.end(),
-            [](const Victim& left, const Victim& right) { return left.lost < right.lost; });
+            [](const Victim& left, const Victim& right) { return left.lost_cpu_s < right.lost_cpu_s; });
   PreemptionOption option{&machine, {}, 0};
   Resources free = free_resources(context_, machine);
   for (const auto& victim : candidates) {
     if (free.fits(job.spec)) break;
     free.give(context_.jobs.find(victim.task.job)->spec);
     option.victims.push_back(victim);
-    option.lost += victim.lost;
+    option.lost_cpu_s += victim.lost_cpu_s;
   }
   if (!free.fits(job.spec)) return std::nullopt;
   return option;
 }
 
-// Stops the tasks, and keeps the machine for the gang.
+// Stops the selected tasks and reserves the machine for the gang for a limited time, so that no other work
+// takes the freed capacity.
 void Scheduler::preempt(const Job& job, const PreemptionOption& option) {
   option.machine->reserved_by = job.spec.id;
   option.machine->reserved_until =
-      context_.now.steady + std::max(c::kReserveS, 3 * context_.settings.heartbeat_interval_s);
+      context_.now.steady + std::max(c::kPreemptionHoldS, 3 * context_.settings.heartbeat_interval_s);
   for (const auto& victim : option.victims) {
     Job* other = context_.jobs.find(victim.task.job);
     stop_run(*other, victim.task.index, 0);
-    placements_.return_task(*other, victim.task.index);
+    placements_.requeue_task(*other, victim.task.index);
     context_.metrics.count("preempted");
   }
   spdlog::info("gang {}: {} tasks preempted on {}, {:.0f} cpu seconds lost", name_of(job),
-               option.victims.size(), option.machine->name, option.lost);
+               option.victims.size(), option.machine->name, option.lost_cpu_s);
 }
 
-// Capacity for a gang is made from work of lower priority, fewest lost seconds first.
+// Frees capacity for the gang by preempting tasks of lower priority on as many machines as it still needs,
+// those that lose the fewest cpu seconds first.
 void Scheduler::preempt_for(const Job& job) {
   const double now = context_.now.steady;
   if (has_reserved_machine(job)) return;
@@ -141,18 +145,19 @@
       continue;
     const auto avoided = job.avoid.find(name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
-    if ((machine.reserved_by && now < machine.reserved_until) || claimed_.contains(name)) continue;
+    if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
     const Resources& free = free_resources(context_, machine);
     if (free.fits(job.spec))
-      free_slots += std::min(free.tasks_of(job.spec), slots_by_count(context_, job, machine));
+      free_slots += std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
     else if (auto option = preemption_option(job, machine))
       options.push_back(std::move(*option));
   }
-  if (free_slots >= job.spec.tasks) return;  // count is not what keeps it waiting (zones, say)
+  if (free_slots >= job.spec.tasks)
+    return;  // slots are not what it lacks; the zone rules may prevent its placement
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
   std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
-    return std::tie(left.lost, left.machine->name) < std::tie(right.lost, right.machine->name);
+    return std::tie(left.lost_cpu_s, left.machine->name) < std::tie(right.lost_cpu_s, right.machine->name);
   });
   for (std::size_t i = 0; i < needed; ++i) preempt(job, options[i]);
   send_stops();
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -22,9 +22,9 @@
             time_left(job),
             job.submitted_ms,
             job.spec.id};
-  // Work that has waited for long comes before the turn of the shares, oldest first: none starves, the
-  // largest least.
-  const bool gang_overdue = job.spec.gang && context_.now.steady - job.known_at > c::kClaimAfterS;
+  // Jobs that have waited for too long come first among jobs with equal `borrows` and `priority`, ordered by
+  // submission instead of share. Otherwise jobs could starve, large ones most of all.
+  const bool gang_overdue = job.spec.gang && context_.now.steady - job.known_at > c::kGangClaimAfterS;
   if (gang_overdue || waited_too_long(job)) {
     rank.tier = -1;
     rank.share = 0;
@@ -34,7 +34,8 @@
 }
 
 bool QueueOrder::waited_too_long(const Job& job) const {
-  return !job.spec.gang && job.first_start == 0 && context_.now.steady - job.known_at > c::kArrayLongestWaitS;
+  return !job.spec.gang && job.first_started_at == 0 &&
+         context_.now.steady - job.known_at > c::kArrayOverdueWaitS;
 }
 
 double QueueOrder::time_left(const Job& job) const {
@@ -45,7 +46,7 @@
   for (const auto& objective : context_.settings.objectives)
     if (objective.kind == "finished" && objective.job_class == job.spec.job_class)
       return std::min(inherited, objective.within_s - age);
-  return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kUnknownRunS - age);
+  return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kDefaultRunS - age);
 }
 
 double QueueOrder::expected_duration(const Job& job) const {
@@ -63,7 +64,7 @@
 }
 
 void QueueOrder::sort() {
-  next_sort_ = context_.now.steady + c::kQueuesEveryS;
+  next_sort_ = context_.now.steady + c::kQueueSortIntervalS;
   changed_ = false;
   queues_.clear();
   std::map<const Job*, Rank> ranks;
@@ -74,7 +75,8 @@
     queues_[job->spec.team].push_back(job.get());
     ranks.emplace(job.get(), rank(*job, 1));
   }
-  // The share is the same for all jobs of a team, and whether it borrows changes with each placement.
+  // `share` is equal for all jobs of a team, and `borrows` changes with each placement, so neither is part of
+  // the key.
   const auto sort_key = [&](const Job* job) {
     const Rank& of_job = ranks.at(job);
     return std::tuple(of_job.priority, of_job.tier, of_job.time_left_s, of_job.submitted, of_job.id);
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scheduler: construction, phases, the tick, and why jobs wait.
+/// Scheduler: construction, leader phases, periodic work, and the reasons for which jobs wait.
 #include "coordination/scheduling/scheduler.hpp"
 
 #include <spdlog/spdlog.h>
@@ -41,75 +41,77 @@
       actions_(std::move(actions)),
       change_log_(context, election,
                   {[this](protocol::JobId id) { on_cancelled_elsewhere(id); },
-                   [this](protocol::JobId id) { read_job(id); }, [this] { election_.guard_lost(); }}),
+                   [this](protocol::JobId id) { read_job(id); }, [this] { election_.on_state_diverged(); }}),
       lookup_(context, [this](protocol::JobId id) { on_cancelled_elsewhere(id); }),
       dependencies_(
           context, lookup_,
-          {[this](Job& job) { dependencies_done(job); }, [this](Job& job) { dependency_cancelled(job); },
+          {[this](Job& job) { release_waiting_job(job); }, [this](Job& job) { cancel_waiting_job(job); },
            [this](protocol::JobId id) { read_job(id); }}),
       arrivals_(context, run_times_),
       queue_order_(context, run_times_),
-      survey_(context, arrivals_),
+      capacity_survey_(context, arrivals_),
       placements_(context),
       unreconciled_(context),
-      direct_(context, election, actions_.direct),
+      direct_commands_(context, election, actions_.direct),
       machine_records_(context, election, versions),
       cancelled_work_(context) {}
 
 void Scheduler::set_phase(LeaderPhase phase) {
   if (phase_ == phase) return;
   spdlog::info("leader phase: {} -> {} ({:.2f} s into term {})", to_text(phase_), to_text(phase),
-               context_.now.steady - began_, election_.term());
+               context_.now.steady - term_began_at_, election_.term());
   phase_ = phase;
   if (phase == LeaderPhase::kServing) serving_since_ = context_.now.steady;
 }
 
 std::string Scheduler::audit() {
   if (phase_ == LeaderPhase::kNone || phase_ == LeaderPhase::kLoading)
-    return {};  // the sums begin when the ledger is read
+    return {};  // the totals are kept from the end of loading on
   if (auto difference = placements_.audit(); !difference.empty()) return difference;
   const auto& machines = context_.machines.all();
   const auto unreconciled = std::count_if(machines.begin(), machines.end(),
                                           [](const auto& entry) { return entry.second.unreconciled; });
   if (static_cast<std::size_t>(unreconciled) == unreconciled_.count()) return {};
-  return std::to_string(unreconciled) + " machines are unreconciled, the accounts say " +
+  return std::to_string(unreconciled) + " machines are unreconciled, but their counter says " +
          std::to_string(unreconciled_.count());
 }
 
-// The machine has proved what is on it, or that nothing of an earlier leader can be.
+// Called when the machine's tasks are known: its heartbeat listed them, or its lease or the machine itself
+// ended.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
-    round_wanted_ = true;
+    round_requested_ = true;
     queue_order_.mark_changed();
   }
 }
 
 void Scheduler::sort_queues() {
   queue_order_.sort();
-  placements_.clear_array_unqueued();
+  placements_.clear_unqueued_array_task();
 }
 
 void Scheduler::update_tiers() {
-  if (context_.now.steady < next_tiers_) return;
-  next_tiers_ = context_.now.steady + c::kTiersEveryS;
-  dependencies_.inherit([this](const Job& job) { return queue_order_.expected_duration(job); });
-  assign_array_tiers(context_, run_times_, queue_order_, survey_.supply_cpus());
+  if (context_.now.steady < next_tier_update_) return;
+  next_tier_update_ = context_.now.steady + c::kArrayTierIntervalS;
+  dependencies_.inherit_priorities([this](const Job& job) { return queue_order_.expected_duration(job); });
+  assign_array_tiers(context_, run_times_, queue_order_, capacity_survey_.supply_cpus());
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- periodic work
 
-// One line whenever the reason changes for which a job with nothing placed waits.
+// Logs why a job with no run and no reservation waits, once for each change of the reason.
 void Scheduler::log_wait_reasons() {
-  if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_log_) return;
-  next_log_ = context_.now.steady + c::kLogWaitsEveryS;
+  if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_wait_log_) return;
+  next_wait_log_ = context_.now.steady + c::kWaitReasonLogIntervalS;
   for (auto& [id, job] : context_.jobs.all()) {
     if (job->state != JobState::kActive || !job->runs.empty() || !job->reservations.empty()) continue;
-    const char* why = why_waiting(*job);
+    const char* why = wait_reason(*job);
     if (job->logged_wait_reason == why) continue;
     job->logged_wait_reason = why;
     spdlog::debug("job {} waits: {}", name_of(*job), why);
   }
 }
+
 void Scheduler::tick() {
   const double now = context_.now.steady;
   if (phase_ == LeaderPhase::kNone) return;
@@ -117,44 +119,46 @@
   if (phase_ == LeaderPhase::kLoading) {
     if (!loading_dependencies_) return;
     dependencies_.tick();
-    if (!dependencies_.release_decided()) return;
-    loaded();
+    if (!dependencies_.release_states_known()) return;
+    finish_loading();
   }
-  direct_.refill_budget();
+  direct_commands_.refill_budget();
   if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
     set_phase(LeaderPhase::kServing);
-    round_wanted_ = true;
+    round_requested_ = true;
   }
-  if (now >= next_watch_) {
-    next_watch_ = now + c::kWatchEveryS;
+  if (now >= next_machine_watch_) {
+    next_machine_watch_ = now + c::kLivenessCheckIntervalS;
     watch_machines();
   }
   send_stops();
   if (!election_.valid()) return;
   change_log_.tick();
   dependencies_.tick();
-  direct_.send_planned_probes();
+  direct_commands_.send_planned_probes();
   machine_records_.write_due();
-  if (now >= next_sweep_) {
-    next_sweep_ = now + c::kSweepEveryS;
+  if (now >= next_job_sweep_) {
+    next_job_sweep_ = now + c::kJobSweepIntervalS;
     unreconciled_.charge_quota_if_changed();
     sweep_jobs();
-    change_log_.delete_uncollected();
+    change_log_.retry_deletions();
   }
   if (phase_ == LeaderPhase::kServing) {
-    // Reservations expire and waits end by time alone, so a quiet moment needs rounds too.
-    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2)) round_wanted_ = true;
-    round();
+    // Reservations and backoffs expire without any event, so rounds are also needed while nothing happens.
+    if (now - last_round_ > std::min(1.0, context_.settings.heartbeat_interval_s / 2))
+      round_requested_ = true;
+    run_placement_round();
     log_wait_reasons();
   }
 }
-const char* Scheduler::why_waiting(const Job& job) const {
-  if (context_.now.steady < job.backoff_until) return "backs off after failures";
+
+const char* Scheduler::wait_reason(const Job& job) const {
+  if (context_.now.steady < job.backoff_until) return "its backoff after failures has not ended";
   if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
-    return "its team's limit is reached";
-  if (job.tier > 0) return "steps back: it would be late anyway";
-  return "no capacity";
+    return "the quota of its team is used up";
+  if (job.tier > 0) return "other arrays go first, since it would miss its due time anyway";
+  return "no machine has free capacity for it";
 }
 
 }  // namespace robinford::coordination
--- a/tests/bookkeeping/writer_test.cpp
+++ b/tests/bookkeeping/writer_test.cpp
@@ -37,7 +37,7 @@
     calls.on_result(call.id, {status, body});
     step(0.5);
   }
-  Written into(std::vector<WriteOutcome>& list) {
+  WriteCallback into(std::vector<WriteOutcome>& list) {
     return [&list](WriteOutcome outcome, std::uint64_t) { list.push_back(outcome); };
   }
 
@@ -88,7 +88,7 @@
   EXPECT_TRUE(std::any_of(b.out.calls.begin(), b.out.calls.end(),
                           [](const auto& call) { return call.target == names::kPathTxn; }));
   const auto sent = b.out.calls.size();
-  b.step(constants::kStateTimeoutS + 1);
+  b.step(constants::kStateCallTimeoutS + 1);
   EXPECT_GT(given_up, 150);
   EXPECT_LT(b.out.calls.size(), sent + 2);
 }
@@ -191,15 +191,15 @@
     b.answer(b.next(), 429, "");
   };
   ask();
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceDrop);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceReductionFactor);
   ask();  // within the same second
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceDrop);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceReductionFactor);
   EXPECT_EQ(b.state.throttled(), 2u);
   for (int i = 0; i < 100; ++i) {
     b.step(1);
     ask();
   }
-  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceLeast);
+  EXPECT_DOUBLE_EQ(b.state.pace(), constants::kPaceMin);
   for (int i = 0; i < 400; ++i) b.step(1);
   EXPECT_DOUBLE_EQ(b.state.pace(), 1);
 }
