--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -24,7 +24,7 @@
   if (options_.enabled) context_.quota.set_guard(&lessor_);
 }
 
-quota::Lessor::Ledgers QuotaLeases::ledgers(ControllerContext& context) {
+quota::Lessor::LeaderAccounts QuotaLeases::ledgers(ControllerContext& context) {
   const auto job = [&context](protocol::JobId id) {
     quota::JobView view;
     if (const auto* known = context.jobs.find(id)) {
@@ -105,12 +105,12 @@
 bool QuotaLeases::take_lessee(const std::string& member, std::uint64_t incarnation, const std::string& body) {
   const auto message = quota::decode_lessee(body);
   if (!message) {
-    lessor_.bad_message();
+    lessor_.count_bad_message();
     return false;
   }
   // A leader that stood still and is none any more must not renew anything.
   if (!election_.valid()) return true;
-  if (const auto reply = lessor_.take(member, incarnation, *message, context_.now.steady))
+  if (const auto reply = lessor_.handle_lessee_message(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
   return true;
 }
@@ -118,11 +118,11 @@
 bool QuotaLeases::take_lessor(const std::string& member, const std::string& body) {
   const auto message = quota::decode_lessor(body);
   if (!message) {
-    lessor_.bad_message();
+    lessor_.count_bad_message();
     return false;
   }
   if (election_.role() == Role::kLeading) return true;
-  if (lessee_.take(*message, context_.now.steady)) renew(member);
+  if (lessee_.handle_lessor_message(*message, context_.now.steady)) renew(member);
   return true;
 }
 
@@ -133,7 +133,7 @@
 // ---------------------------------------------------------------- records
 
 void QuotaLeases::load() {
-  lessor_.loading_begins();
+  lessor_.loading_started();
   ++generation_;
   loading_.clear();
   load_page("");
@@ -161,7 +161,7 @@
 void QuotaLeases::write(quota::LeaseWrite due) {
   const std::string key = due.key;
   context_.writer.submit(
-      {WriteOp{key, due.expect, std::move(due.value)}},
+      {WriteOp{key, due.expected_mod_revision, std::move(due.value)}},
       [this, key, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
         if (outcome == WriteOutcome::kDone)
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -38,7 +38,7 @@
   std::string audit() const;
 
  private:
-  static quota::Lessor::Ledgers ledgers(ControllerContext& context);
+  static quota::Lessor::LeaderAccounts ledgers(ControllerContext& context);
   bool lessor_understands(const std::string& leader) const;
   void renew(const std::string& leader);
   void load();
--- a/src/quota/allotter.cpp
+++ b/src/quota/allotter.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 // What the member lacks to meet the demand that it sees, beyond what it has promised already.
-Amount lacking(const MemberDemand& member) {
+Amount unmet_demand(const MemberDemand& member) {
   return positive(member.demand - (member.size - member.promised));
 }
 
-Amount in_proportion(const Amount& part, const Amount& whole, const Amount& budget) {
+Amount proportional_share(const Amount& part, const Amount& whole, const Amount& budget) {
   const auto share = [](std::int64_t of, std::int64_t all, std::int64_t amount) {
     if (all <= amount) return of;
     return static_cast<std::int64_t>(static_cast<double>(of) / static_cast<double>(all) *
@@ -21,7 +21,7 @@
   return {share(part.cpus, whole.cpus, budget.cpus), share(part.gpus, whole.gpus, budget.gpus)};
 }
 
-bool worth_a_write(const MemberDemand& member, const Amount& growth) {
+bool justifies_write(const MemberDemand& member, const Amount& growth) {
   const auto enough = [](std::int64_t by, std::int64_t size) {
     return by >= c::kThousandths && by * c::kGrowthStepPart >= size;
   };
@@ -43,11 +43,11 @@
   const Amount beyond = rest - guaranteed;
   const Amount hand_out = guaranteed + Amount{beyond.cpus / 2, beyond.gpus / 2};
   Amount lacked;
-  for (const auto& [name, member] : members) lacked += lacking(member);
+  for (const auto& [name, member] : members) lacked += unmet_demand(member);
   std::map<std::string, Amount> growth;
   for (const auto& [name, member] : members) {
-    const Amount by = in_proportion(lacking(member), lacked, hand_out);
-    if (worth_a_write(member, by)) growth[name] = by;
+    const Amount by = proportional_share(unmet_demand(member), lacked, hand_out);
+    if (justifies_write(member, by)) growth[name] = by;
   }
   return growth;
 }
--- a/src/quota/claims.cpp
+++ b/src/quota/claims.cpp
@@ -6,7 +6,7 @@
 
 namespace robinford::quota {
 
-void Claims::note(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now) {
+void Claims::record_claim(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now) {
   const auto [entry, added] = teams_[team].try_emplace(job);
   auto& claim = entry->second;
   if (added) claim.first_refused = now;
@@ -15,7 +15,7 @@
   claim.gang = gang;
 }
 
-void Claims::settled(const std::string& team, protocol::JobId job) {
+void Claims::drop_claim(const std::string& team, protocol::JobId job) {
   const auto found = teams_.find(team);
   if (found == teams_.end()) return;
   found->second.erase(job);
--- a/src/quota/claims.hpp
+++ b/src/quota/claims.hpp
@@ -19,8 +19,8 @@
 class Claims {
  public:
   void clear() { teams_.clear(); }
-  void note(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now);
-  void settled(const std::string& team, protocol::JobId job);
+  void record_claim(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now);
+  void drop_claim(const std::string& team, protocol::JobId job);
   // Claims that were not repeated lately: their jobs were placed, ended, or wait for something else.
   void drop_stale(double now);
 
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -53,7 +53,7 @@
   part.revision = revision;
 }
 
-void LeaseLedger::lower_part(const std::string& member, const std::string& team, const Amount& size) {
+void LeaseLedger::shrink_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
   // What is promised stays, whatever the lessee says: its grants may have been told before.
   const Amount lower = larger(part.promised, smaller(part.size, size));
@@ -94,16 +94,16 @@
   if (grant.tasks == 0) grants_.erase(found);
 }
 
-void LeaseLedger::refuse(const std::string& member, const NewGrant& new_grant) {
+void LeaseLedger::queue_refusal(const std::string& member, const NewGrant& new_grant) {
   auto& lease = leases_.at(member);
   lease.refunds.push_back({++lease.refunds_made, new_grant.job, new_grant.tasks});
 }
 
-void LeaseLedger::acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken) {
+void LeaseLedger::drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken) {
   while (!lease.refunds.empty() && lease.refunds.front().number <= refunds_taken) lease.refunds.pop_front();
 }
 
-void LeaseLedger::running_changed(protocol::JobId job, std::int64_t by, double now) {
+void LeaseLedger::change_running_tasks(protocol::JobId job, std::int64_t by, double now) {
   const auto found = grants_.find(job);
   if (found == grants_.end()) return;
   auto& grant = found->second;
@@ -113,7 +113,7 @@
   set_covered(grant, before);
 }
 
-void LeaseLedger::seen_live(protocol::JobId job) {
+void LeaseLedger::mark_job_live(protocol::JobId job) {
   const auto found = grants_.find(job);
   if (found != grants_.end()) found->second.job_was_live = true;
 }
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -43,7 +43,7 @@
   bool synchronized = false;
   std::uint64_t last_probe = 0;  // of its holder: earlier ones are late copies
   std::uint64_t grants_taken = 0, refunds_made = 0;
-  std::deque<Refund> refunds;  // made, and not acknowledged yet
+  std::deque<Refund> refunds;  // issued refunds that the lessee has not confirmed
   std::map<std::string, PartEntry> parts;
   double next_growth = 0;
 };
@@ -65,17 +65,17 @@
   void set_part(const std::string& member, const std::string& team, std::uint64_t revision,
                 const Amount& size);
   // The lessee gave capacity up; the size never grows this way.
-  void lower_part(const std::string& member, const std::string& team, const Amount& size);
+  void shrink_part(const std::string& member, const std::string& team, const Amount& size);
 
   // False, and nothing changes: the part does not cover it, or the job is granted already.
   bool add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running, double now);
   // So many tasks are not promised any more; queued for the lessee.
   void refund(protocol::JobId job, std::uint32_t tasks);
   // A grant that was not taken in is refunded as it came.
-  void refuse(const std::string& member, const NewGrant& new_grant);
-  void acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken);
-  void running_changed(protocol::JobId job, std::int64_t by, double now);
-  void seen_live(protocol::JobId job);
+  void queue_refusal(const std::string& member, const NewGrant& new_grant);
+  void drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken);
+  void change_running_tasks(protocol::JobId job, std::int64_t by, double now);
+  void mark_job_live(protocol::JobId job);
 
   // What the leases still permit of the team's limit beyond what is placed.
   Amount exposure(const std::string& team) const;
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -58,7 +58,7 @@
 void Lessee::tick(double now) {
   if (state_ == LesseeState::kHolding && now >= valid_until_) set_state(LesseeState::kExpired);
   for (auto& [team, part] : parts_) {
-    if (now - part.busy_at < options_.idle_return_s) continue;
+    if (now - part.last_requested_at < options_.idle_return_s) continue;
     part.size = part.promised;
   }
 }
@@ -96,7 +96,7 @@
   return message;
 }
 
-bool Lessee::take(const LessorMessage& message, double now) {
+bool Lessee::handle_lessor_message(const LessorMessage& message, double now) {
   // Late words of an earlier leader, or for an earlier process of this member.
   if (message.incarnation != incarnation_ || message.lessor_incarnation < lessor_incarnation_ ||
       message.epoch < epoch_)
@@ -114,8 +114,8 @@
   }
   while (!unacknowledged_.empty() && unacknowledged_.front().number <= message.grants_taken)
     unacknowledged_.pop_front();
-  for (const auto& refund : message.refunds) take_refund(refund);
-  for (const auto& part : message.parts) answer_at_once = take_part(part, now) || answer_at_once;
+  for (const auto& refund : message.refunds) apply_refund(refund);
+  for (const auto& part : message.parts) answer_at_once = apply_offered_part(part, now) || answer_at_once;
   const double probed_at = static_cast<double>(message.probe) / c::kMsPerS;
   if (message.probe != 0 && probed_at >= reset_at_) {
     const double until = probed_at + options_.ttl_s * (1 - c::kClockDrift) - c::kLeaseMarginS;
@@ -151,7 +151,7 @@
 }
 
 // Each refund takes effect once: repeated ones have numbers that were taken already.
-void Lessee::take_refund(const Refund& refund) {
+void Lessee::apply_refund(const Refund& refund) {
   if (refund.number != refunds_taken_ + 1) return;
   ++refunds_taken_;
   const auto found = grants_.find(refund.job);
@@ -165,12 +165,12 @@
 }
 
 // True when capacity that the lessor recalls was given up.
-bool Lessee::take_part(const OfferedPart& offered, double now) {
+bool Lessee::apply_offered_part(const OfferedPart& offered, double now) {
   auto& part = parts_[offered.team];
   if (offered.revision > part.revision) {
     part.revision = offered.revision;
     part.size = offered.size;
-    part.busy_at = now;
+    part.last_requested_at = now;
   }
   if (offered.revision != part.revision) return false;
   const Amount wanted = larger(part.promised, smaller(part.size, offered.keep));
@@ -183,7 +183,7 @@
   auto& demand_sum = demands_[team];
   demand_sum.sum = demand(team, now) + amount;
   demand_sum.at = now;
-  if (const auto part = parts_.find(team); part != parts_.end()) part->second.busy_at = now;
+  if (const auto part = parts_.find(team); part != parts_.end()) part->second.last_requested_at = now;
 }
 
 Amount Lessee::demand(const std::string& team, double now) const {
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -56,7 +56,7 @@
   // Only the grants that were never sent. Nothing when there are none.
   std::optional<LesseeMessage> new_grants();
   // The leader's word. True: it asks for an answer at once.
-  bool take(const LessorMessage& message, double now);
+  bool handle_lessor_message(const LessorMessage& message, double now);
   // This controller leads now, or the switch is off: whatever lease there is, is not used any more.
   void reset(double now);
 
@@ -77,7 +77,7 @@
   struct Part {
     std::uint64_t revision = 0;
     Amount size, promised;
-    double busy_at = 0;  // when it was last asked for
+    double last_requested_at = 0;  // when it was last asked for
   };
   // What was asked for lately: a sum that halves in constant time.
   struct Demand {
@@ -87,8 +87,8 @@
   void set_state(LesseeState state);
   void start_lessor_incarnation(std::uint64_t lessor_incarnation);
   void forget_lease();
-  void take_refund(const Refund& refund);
-  bool take_part(const OfferedPart& offered, double now);
+  void apply_refund(const Refund& refund);
+  bool apply_offered_part(const OfferedPart& offered, double now);
   void note_demand(const std::string& team, const Amount& amount, double now);
   Amount demand(const std::string& team, double now) const;
   std::uint64_t probe_time(double now) const;
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -25,10 +25,10 @@
   return "?";
 }
 
-Lessor::Lessor(const protocol::Settings& settings, const LeaseOptions& options, Ledgers ledgers)
+Lessor::Lessor(const protocol::Settings& settings, const LeaseOptions& options, LeaderAccounts ledgers)
     : settings_(settings),
       options_(options),
-      ledgers_(std::move(ledgers)),
+      leader_accounts_(std::move(ledgers)),
       write_budget_(settings.state_write_rps * options.write_share,
                     std::max(1.0, settings.state_write_rps * options.write_share)) {}
 
@@ -48,10 +48,10 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_notify_.clear();
-  recalled_.clear();
-  beyond_limit_.clear();
-  reload_ = true;
+  members_to_notify_.clear();
+  recalled_teams_.clear();
+  teams_over_limit_.clear();
+  reload_needed_ = true;
   set_state(LessorState::kLoading);
 }
 
@@ -60,8 +60,8 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_notify_.clear();
-  reload_ = false;
+  members_to_notify_.clear();
+  reload_needed_ = false;
 }
 
 std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptBits) | ++epochs_; }
@@ -82,7 +82,7 @@
 }
 
 Amount Lessor::available(const std::string& team) const {
-  return limit_of(team).limit - ledgers_.used(team) - ledger_.exposure(team);
+  return limit_of(team).limit - leader_accounts_.used(team) - ledger_.exposure(team);
 }
 
 // ---------------------------------------------------------------- lessees
@@ -102,18 +102,19 @@
 
 // The process that held the lease is over, or has a later one by now: it can't grant from it any more. A
 // lower epoch proves nothing, since it may be a late copy; who gave a lease up does not renew it.
-bool Lessor::superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch) {
+bool Lessor::is_superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch) {
   return incarnation != lease.incarnation || epoch > lease.epoch;
 }
 
-std::optional<LessorMessage> Lessor::take(const std::string& member, std::uint64_t incarnation,
-                                          const LesseeMessage& message, double now) {
+std::optional<LessorMessage> Lessor::handle_lessee_message(const std::string& member,
+                                                           std::uint64_t incarnation,
+                                                           const LesseeMessage& message, double now) {
   now_ = now;
   if (state_ != LessorState::kServing) return std::nullopt;
   auto* lease = ledger_.find(member);
   // A late word of a former process.
   if (lease != nullptr && incarnation < lease->incarnation) return std::nullopt;
-  if (lease != nullptr && superseded(*lease, incarnation, message.epoch)) {
+  if (lease != nullptr && is_superseded(*lease, incarnation, message.epoch)) {
     ++counters_.leases_superseded;
     close_lease(member, "its holder has ended", now);
     lease = nullptr;
@@ -135,38 +136,38 @@
     return message_to(member, 0);
   }
   lease->synchronized = true;
-  ledger_.acknowledged(*lease, message.refunds_taken);
-  take_grants(member, *lease, message, now);
-  if (message.with_parts) take_parts(member, *lease, message, now);
+  ledger_.drop_acknowledged_refunds(*lease, message.refunds_taken);
+  register_grants(member, *lease, message, now);
+  if (message.with_parts) update_parts(member, *lease, message, now);
   if (message.probe == 0) return std::nullopt;
   lease->last_probe = message.probe;
   lease->ends_at = lease_end(now);
-  to_notify_.erase(member);
+  members_to_notify_.erase(member);
   return message_to(member, message.probe);
 }
 
-void Lessor::take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
-                         double now) {
+void Lessor::register_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
+                             double now) {
   // A lessee that takes none of its refunds gets no further grants.
   if (lease.refunds.size() >= c::kGrantsMost) return;
   for (const auto& new_grant : message.grants) {
     if (new_grant.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
     ++lease.grants_taken;
-    const auto view = ledgers_.job(new_grant.job);
+    const auto view = leader_accounts_.job(new_grant.job);
     const bool over = view.state == JobView::State::kOver;
     if (over || !ledger_.add_grant(member, new_grant, view.placed, now)) {
       ++counters_.grants_refused;
-      ledger_.refuse(member, new_grant);
-      to_notify_.insert(member);
+      ledger_.queue_refusal(member, new_grant);
+      members_to_notify_.insert(member);
       continue;
     }
     ++counters_.grants_taken;
-    claims_.settled(new_grant.team, new_grant.job);
+    claims_.drop_claim(new_grant.team, new_grant.job);
   }
 }
 
-void Lessor::take_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
-                        double now) {
+void Lessor::update_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
+                          double now) {
   for (const auto& held : message.parts) {
     const auto found = lease.parts.find(held.team);
     if (found == lease.parts.end()) {
@@ -180,7 +181,7 @@
     part.demand = held.demand;
     // Under another revision it speaks of a size that the part does not have any more, or not yet.
     if (held.revision != part.revision || !part.durable || held.size == part.size) continue;
-    ledger_.lower_part(member, held.team, held.size);
+    ledger_.shrink_part(member, held.team, held.size);
     write_record(member, part.slice, now + c::kLazyRecordS);
   }
 }
@@ -205,11 +206,11 @@
 
 std::vector<std::pair<std::string, LessorMessage>> Lessor::take_messages() {
   std::vector<std::pair<std::string, LessorMessage>> messages;
-  for (const auto& member : to_notify_) {
+  for (const auto& member : members_to_notify_) {
     const auto* lease = ledger_.find(member);
     if (lease != nullptr && lease->synchronized) messages.emplace_back(member, message_to(member, 0));
   }
-  to_notify_.clear();
+  members_to_notify_.clear();
   return messages;
 }
 
@@ -220,9 +221,9 @@
   if (state_ != LessorState::kServing) return;
   write_budget_.refill(now);
   expire_leases(now);
-  if (now >= next_settle_) {
-    next_settle_ = now + c::kSettleGrantsS;
-    settle_grants(now);
+  if (now >= next_reconcile_) {
+    next_reconcile_ = now + c::kSettleGrantsS;
+    reconcile_grants(now);
     claims_.drop_stale(now);
     revoke_idle_grants(now);
     recall();
@@ -240,21 +241,21 @@
   }
 }
 
-void Lessor::settle_grants(double now) {
+void Lessor::reconcile_grants(double now) {
   std::vector<protocol::JobId> jobs;
   for (const auto& [job, grant] : ledger_.grants()) jobs.push_back(job);
-  for (const auto job : jobs) settle_grant(job, now);
+  for (const auto job : jobs) reconcile_grant(job, now);
 }
 
 // Refunds what the job can't use any more. Tasks that are placed stay granted until they are off their
 // machines: their capacity is not free before.
-void Lessor::settle_grant(protocol::JobId job, double now) {
-  const auto view = ledgers_.job(job);
+void Lessor::reconcile_grant(protocol::JobId job, double now) {
+  const auto view = leader_accounts_.job(job);
   const auto& grant = *ledger_.grant(job);
   std::uint32_t needed = 0;
   switch (view.state) {
     case JobView::State::kLive:
-      ledger_.seen_live(job);
+      ledger_.mark_job_live(job);
       needed = std::max(view.remaining, grant.running);
       break;
     case JobView::State::kOver:
@@ -268,7 +269,7 @@
   }
   if (needed >= grant.tasks) return;
   ++counters_.refunds;
-  to_notify_.insert(grant.member);
+  members_to_notify_.insert(grant.member);
   ledger_.refund(job, grant.tasks - needed);
 }
 
@@ -296,24 +297,24 @@
   const Amount reserved = claims_.reserved_before(spec.team, spec.id);
   const Amount open = limit.limit - used - ledger_.exposure(spec.team);
   if (covers(open - larger(kept, reserved), rest)) {
-    claims_.settled(spec.team, spec.id);
+    claims_.drop_claim(spec.team, spec.id);
     return true;
   }
   // Only what would fit without the leases waits for them.
   if (!covers(open - kept, rest)) {
     ++counters_.launches_refused;
     const Amount all = each * (spec.gang ? tasks : spec.tasks);
-    claims_.note(spec.team, spec.id, smaller(all, limit.limit - used), spec.gang, now_);
+    claims_.record_claim(spec.team, spec.id, smaller(all, limit.limit - used), spec.gang, now_);
   }
   return false;
 }
 
 void Lessor::charged(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.running_changed(spec.id, tasks, now_);
+  ledger_.change_running_tasks(spec.id, tasks, now_);
 }
 
 void Lessor::refunded(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.running_changed(spec.id, -static_cast<std::int64_t>(tasks), now_);
+  ledger_.change_running_tasks(spec.id, -static_cast<std::int64_t>(tasks), now_);
 }
 
 Amount Lessor::exposure() const {
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -51,13 +51,13 @@
 // A write that the caller carries out, conditional on leadership and on the mod revision.
 struct LeaseWrite {
   std::string key;
-  std::uint64_t expect = 0;                  // mod revision that the key must have; 0: it must not exist
+  std::uint64_t expected_mod_revision = 0;   // mod revision that the key must have; 0: it must not exist
   std::optional<boost::json::object> value;  // nothing: delete it
 };
 
 class Lessor : public bookkeeping::LaunchGuard {
  public:
-  struct Ledgers {
+  struct LeaderAccounts {
     std::function<JobView(protocol::JobId)> job;
     std::function<Amount(const std::string& team)> used;  // of the team's limit, by the leader's own account
   };
@@ -73,7 +73,7 @@
     std::uint64_t launches_refused = 0;  // placements refused because capacity is leased
   };
 
-  Lessor(const protocol::Settings& settings, const LeaseOptions& options, Ledgers ledgers);
+  Lessor(const protocol::Settings& settings, const LeaseOptions& options, LeaderAccounts ledgers);
 
   // ---- leadership ----
   void begin(std::uint64_t term, double now);
@@ -82,9 +82,9 @@
 
   // ---- lessees ----
   // What a lessee said, and the answer to it.
-  std::optional<LessorMessage> take(const std::string& member, std::uint64_t incarnation,
-                                    const LesseeMessage& message, double now);
-  void bad_message() { ++counters_.bad_messages; }
+  std::optional<LessorMessage> handle_lessee_message(const std::string& member, std::uint64_t incarnation,
+                                                     const LesseeMessage& message, double now);
+  void count_bad_message() { ++counters_.bad_messages; }
 
   // ---- time ----
   void tick(double now);
@@ -95,9 +95,9 @@
   void written(const std::string& key, std::uint64_t mod_revision);
   void not_written(const std::string& key, bool conflict);
   // A record was found changed: all have to be read again.
-  bool needs_loading() const { return state_ == LessorState::kLoading && reload_; }
-  void loading_begins() { reload_ = false; }
-  void loading_failed() { reload_ = state_ == LessorState::kLoading; }
+  bool needs_loading() const { return state_ == LessorState::kLoading && reload_needed_; }
+  void loading_started() { reload_needed_ = false; }
+  void loading_failed() { reload_needed_ = state_ == LessorState::kLoading; }
 
   // ---- launches ----
   bool permits(const protocol::JobSpec& spec, std::uint32_t tasks, double used_cpus, double used_gpus,
@@ -133,18 +133,19 @@
   Amount available(const std::string& team) const;
 
   void load_record(const StoredLease& stored, std::map<std::string, std::vector<LeaseRecord>>& by_member);
-  static bool superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch);
+  static bool is_superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch);
   LeaseEntry& open_lease(const std::string& member, std::uint64_t incarnation, double now);
   void close_lease(const std::string& member, const char* why, double now);
-  void take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message, double now);
-  void take_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message, double now);
+  void register_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
+                       double now);
+  void update_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message, double now);
   LessorMessage message_to(const std::string& member, std::uint64_t probe);
 
   void expire_leases(double now);
-  void settle_grants(double now);
-  void settle_grant(protocol::JobId job, double now);
+  void reconcile_grants(double now);
+  void reconcile_grant(protocol::JobId job, double now);
   void recall();
-  void keep_all(const std::string& team);
+  void cancel_recalls(const std::string& team);
   void recall_from_team(const std::string& team, Amount deficit);
   void revoke_idle_grants(double now);
   void grow(double now);
@@ -158,19 +159,19 @@
 
   const protocol::Settings& settings_;
   const LeaseOptions options_;
-  Ledgers ledgers_;
+  LeaderAccounts leader_accounts_;
   LessorState state_ = LessorState::kIdle;
   std::uint64_t term_ = 0, epochs_ = 0, lessor_incarnation_ = 0;
-  double began_ = 0, now_ = 0, next_settle_ = 0;
+  double began_ = 0, now_ = 0, next_reconcile_ = 0;
   double unreadable_until_ = -1e9;  // until then a record that can't be read may stand for a lease
-  bool reload_ = false;
+  bool reload_needed_ = false;
   LeaseLedger ledger_;
   Claims claims_;
   std::map<std::string, Record> records_;  // by key
-  std::set<std::string> to_notify_;
-  std::set<std::string> recalled_;  // teams of which lessees were asked to give back
+  std::set<std::string> members_to_notify_;
+  std::set<std::string> recalled_teams_;  // teams of which lessees were asked to give back
   std::set<std::string>
-      beyond_limit_;  // teams of which more was leased by an earlier leader than the limit now is
+      teams_over_limit_;  // teams of which more was leased by an earlier leader than the limit now is
   bookkeeping::TokenBucket write_budget_;
   Counters counters_;
 };
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -16,22 +16,22 @@
       idle.emplace_back(job, grant.tasks - grant.running);
   for (const auto& [job, tasks] : idle) {
     counters_.revoked_tasks += tasks;
-    to_notify_.insert(ledger_.grant(job)->member);
+    members_to_notify_.insert(ledger_.grant(job)->member);
     ledger_.refund(job, tasks);
   }
 }
 
 // Claims wait for capacity; a limit that was lowered has to be kept again even if nobody waits.
 void Lessor::recall() {
-  for (const auto& team : std::exchange(recalled_, {})) keep_all(team);
+  for (const auto& team : std::exchange(recalled_teams_, {})) cancel_recalls(team);
   for (const auto& [team, claims] : claims_.teams()) {
     const Amount deficit = claims_.total(team) - available(team);
     if (deficit.cpus > 0 || deficit.gpus > 0) recall_from_team(team, deficit);
   }
-  for (auto team = beyond_limit_.begin(); team != beyond_limit_.end();) {
+  for (auto team = teams_over_limit_.begin(); team != teams_over_limit_.end();) {
     const Amount excess = ledger_.leased(*team) - limit_of(*team).limit;
     if (excess.cpus <= 0 && excess.gpus <= 0) {
-      team = beyond_limit_.erase(team);
+      team = teams_over_limit_.erase(team);
       continue;
     }
     recall_from_team(*team, excess);
@@ -39,7 +39,7 @@
   }
 }
 
-void Lessor::keep_all(const std::string& team) {
+void Lessor::cancel_recalls(const std::string& team) {
   for (auto& [member, lease] : ledger_.leases())
     if (const auto part = lease.parts.find(team); part != lease.parts.end())
       part->second.keep = part->second.size;
@@ -47,7 +47,7 @@
 
 // Idle capacity only, from the parts that grew first.
 void Lessor::recall_from_team(const std::string& team, Amount deficit) {
-  recalled_.insert(team);
+  recalled_teams_.insert(team);
   std::vector<std::pair<double, std::string>> by_age;
   for (const auto& [member, lease] : ledger_.leases())
     if (const auto part = lease.parts.find(team); part != lease.parts.end())
@@ -60,19 +60,19 @@
     part.keep = part.size - back;
     deficit -= back;
     ++counters_.recalls;
-    to_notify_.insert(member);
+    members_to_notify_.insert(member);
   }
 }
 
 void Lessor::grow(double now) {
-  std::map<std::string, std::set<std::string>> wanting;  // members by team
+  std::map<std::string, std::set<std::string>> growth_candidates;  // members by team
   for (auto& [member, lease] : ledger_.leases()) {
     if (!lease.synchronized || now < lease.next_growth) continue;
     lease.next_growth = now + options_.rebalance_s;
     for (const auto& [team, part] : lease.parts)
-      if (!part.demand.is_zero() && (part.durable || part.revision == 0)) wanting[team].insert(member);
+      if (!part.demand.is_zero() && (part.durable || part.revision == 0)) growth_candidates[team].insert(member);
   }
-  for (const auto& [team, members] : wanting) grow_team(team, members, now);
+  for (const auto& [team, members] : growth_candidates) grow_team(team, members, now);
 }
 
 void Lessor::grow_team(const std::string& team, const std::set<std::string>& members, double now) {
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -43,7 +43,7 @@
           spdlog::warn("quota lease of {}: team {} is not in the settings", member, part.team);
         ledger_.set_part(member, part.team, part.revision, part.size);
         ledger_.find(member)->parts.at(part.team).durable = true;
-        beyond_limit_.insert(part.team);  // looked at, and dropped where it is not
+        teams_over_limit_.insert(part.team);  // looked at, and dropped where it is not
       }
     }
   }
@@ -162,7 +162,7 @@
     const auto part = lease->parts.find(team);
     if (part == lease->parts.end() || part->second.revision != revision || part->second.durable) continue;
     part->second.durable = true;
-    to_notify_.insert(member);
+    members_to_notify_.insert(member);
   }
 }
 
@@ -178,7 +178,7 @@
   }
   ++counters_.write_conflicts;
   spdlog::warn("quota leases: record {} was changed by another writer", key);
-  reload_ = true;
+  reload_needed_ = true;
   set_state(LessorState::kLoading);
 }
 
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -24,7 +24,7 @@
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
-  bool finished_well() const { return good_ && rest_.empty(); }
+  bool consumed_all_bytes() const { return good_ && rest_.empty(); }
   bool good() const { return good_; }
 
   std::uint64_t number() {
@@ -141,7 +141,7 @@
     part.demand = in.amount();
     message.parts.push_back(std::move(part));
   }
-  if (!in.finished_well() || with_parts > 1) return std::nullopt;
+  if (!in.consumed_all_bytes() || with_parts > 1) return std::nullopt;
   return message;
 }
 
@@ -169,7 +169,7 @@
     part.keep = in.amount();
     message.parts.push_back(std::move(part));
   }
-  if (!in.finished_well()) return std::nullopt;
+  if (!in.consumed_all_bytes()) return std::nullopt;
   return message;
 }
 
--- a/tests/quota/quota_property_test.cpp
+++ b/tests/quota/quota_property_test.cpp
@@ -167,10 +167,10 @@
     leader_settings_ =
         settings_of(members_[member].name, static_cast<double>(limit_) / constants::kThousandths);
     ++term_;
-    lessor_ =
-        std::make_unique<Lessor>(leader_settings_, options_,
-                                 Lessor::Ledgers{[this](protocol::JobId id) { return view(id); },
-                                                 [this](const std::string& team) { return used(team); }});
+    lessor_ = std::make_unique<Lessor>(
+        leader_settings_, options_,
+        Lessor::LeaderAccounts{[this](protocol::JobId id) { return view(id); },
+                               [this](const std::string& team) { return used(team); }});
     members_[member].lessee->reset(members_[member].clock(now_));
     lessor_->begin(term_, members_[member].clock(now_));
   }
@@ -271,14 +271,15 @@
   void take_lessor(const Message& message) {
     if (message.to == leader_) return;
     auto& member = members_[message.to];
-    if (member.lessee->take(*decode_lessor(message.body), member.clock(now_)))
+    if (member.lessee->handle_lessor_message(*decode_lessor(message.body), member.clock(now_)))
       send(message.to, leader_, encode(member.lessee->renewal(member.clock(now_))));
   }
 
   void take_lessee(const Message& message) {
     if (message.to != leader_ || lessor_ == nullptr) return;
-    const auto reply = lessor_->take(members_[message.from].name, message.from_incarnation,
-                                     *decode_lessee(message.body), members_[leader_].clock(now_));
+    const auto reply =
+        lessor_->handle_lessee_message(members_[message.from].name, message.from_incarnation,
+                                       *decode_lessee(message.body), members_[leader_].clock(now_));
     if (reply) send(leader_, message.from, encode(*reply));
   }
 
@@ -295,7 +296,7 @@
     if (lessor_ == nullptr || frozen(leader_)) return;
     const double clock = members_[leader_].clock(now_);
     if (lessor_->needs_loading()) {
-      lessor_->loading_begins();
+      lessor_->loading_started();
       std::vector<StoredLease> records;
       for (const auto& [key, entry] : store_) records.push_back({key, entry.first, entry.second});
       lessor_->loaded(records, clock);
@@ -314,7 +315,7 @@
     if (now_ < late_until_ && random_ % 2 == 0) return lessor_->not_written(write.key, false);
     const auto found = store_.find(write.key);
     const std::uint64_t mod_revision = found == store_.end() ? 0 : found->second.first;
-    if (mod_revision != write.expect) return lessor_->not_written(write.key, true);
+    if (mod_revision != write.expected_mod_revision) return lessor_->not_written(write.key, true);
     ++stamps_;
     if (write.value)
       store_[write.key] = {stamps_, boost::json::parse(boost::json::serialize(*write.value))};
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -170,7 +170,7 @@
 
 TEST_F(LesseeTest, GrantsOnlyWhatItHas) {
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 100));
-  lessee.take(offer(4, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(4, 1, 100), 100.1);
   EXPECT_EQ(lessee.grant(job(2, 3, 1), 100.2)->tasks, 3u);
   EXPECT_EQ(lessee.grant(job(3, 9, 1), 100.2)->tasks, 1u);  // an array takes what is left
   EXPECT_FALSE(lessee.grant(job(4, 1, 1), 100.2));
@@ -180,81 +180,81 @@
 }
 
 TEST_F(LesseeTest, GrantsGangsWholeOrNotAtAll) {
-  lessee.take(offer(4, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(4, 1, 100), 100.1);
   EXPECT_FALSE(lessee.grant(job(1, 5, 1, true), 100.2));
   EXPECT_EQ(lessee.grant(job(2, 4, 1, true), 100.2)->tasks, 4u);
 }
 
 // It stood still, and works through what came meanwhile: the moment of the grant counts.
 TEST_F(LesseeTest, GrantsNothingOnceTheLeaseCouldBeOver) {
-  lessee.take(offer(4, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(4, 1, 100), 100.1);
   EXPECT_TRUE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.5));
   EXPECT_FALSE(lessee.valid(100 + LeaseOptions{}.ttl_s - 0.25));
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 106));
   // A late answer to an early question renews nothing beyond that question's time.
-  lessee.take(offer(4, 1, 100), 107);
+  lessee.handle_lessor_message(offer(4, 1, 100), 107);
   EXPECT_FALSE(lessee.grant(job(1, 1, 1), 107));
   EXPECT_EQ(lessee.counters().not_valid, 2u);
 }
 
 TEST_F(LesseeTest, RefundsTakeEffectOnceAndInOrder) {
-  lessee.take(offer(4, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(4, 1, 100), 100.1);
   lessee.grant(job(1, 4, 1), 100.2);
   auto message = offer(4, 1, 100);
   message.refunds = {{1, 1, 2}};
-  lessee.take(message, 100.3);
-  lessee.take(message, 100.4);
+  lessee.handle_lessor_message(message, 100.3);
+  lessee.handle_lessor_message(message, 100.4);
   EXPECT_EQ(lessee.promised(), cpus(2));
   message.refunds = {{3, 1, 2}};  // number 2 is missing
-  lessee.take(message, 100.5);
+  lessee.handle_lessor_message(message, 100.5);
   EXPECT_EQ(lessee.promised(), cpus(2));
   message.refunds = {{2, 1, 2}, {3, 9, 1}};
-  lessee.take(message, 100.6);
+  lessee.handle_lessor_message(message, 100.6);
   EXPECT_EQ(lessee.promised(), Amount{});
   EXPECT_EQ(lessee.outstanding(), 0u);
 }
 
 TEST_F(LesseeTest, GivesIdleCapacityBackAndNeverTakesItBySameRevision) {
-  lessee.take(offer(8, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(8, 1, 100), 100.1);
   lessee.grant(job(1, 2, 1), 100.2);
   auto recall = offer(8, 1, 100);
   recall.parts[0].keep = cpus(1);
-  EXPECT_TRUE(lessee.take(recall, 100.3));
+  EXPECT_TRUE(lessee.handle_lessor_message(recall, 100.3));
   EXPECT_EQ(lessee.held(), cpus(2));  // what is promised stays
-  lessee.take(offer(8, 1, 100), 100.4);
+  lessee.handle_lessor_message(offer(8, 1, 100), 100.4);
   EXPECT_EQ(lessee.held(), cpus(2));
-  lessee.take(offer(6, 2, 100), 100.5);
+  lessee.handle_lessor_message(offer(6, 2, 100), 100.5);
   EXPECT_EQ(lessee.held(), cpus(6));
   lessee.tick(100.5 + LeaseOptions{}.idle_return_s + 0.1);
   EXPECT_EQ(lessee.held(), cpus(2));
 }
 
 TEST_F(LesseeTest, ResendsAllGrantsToANewLessorIncarnationAndDropsThemWithItsLease) {
-  lessee.take(offer(8, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(8, 1, 100), 100.1);
   lessee.grant(job(1, 2, 1), 100.2);
   ASSERT_TRUE(lessee.new_grants());
   EXPECT_FALSE(lessee.new_grants());
   auto message = offer(8, 1, 100);
   message.grants_taken = 1;
-  lessee.take(message, 100.3);
+  lessee.handle_lessor_message(message, 100.3);
   EXPECT_TRUE(lessee.renewal(100.4).grants.empty());
   message.lessor_incarnation = 11;
   message.grants_taken = 0;
-  EXPECT_TRUE(lessee.take(message, 100.5));
+  EXPECT_TRUE(lessee.handle_lessor_message(message, 100.5));
   ASSERT_EQ(lessee.renewal(100.6).grants.size(), 1u);
   EXPECT_EQ(lessee.renewal(100.6).grants[0].number, 1u);
   message.epoch = 12;
-  EXPECT_TRUE(lessee.take(message, 100.7));
+  EXPECT_TRUE(lessee.handle_lessor_message(message, 100.7));
   EXPECT_EQ(lessee.outstanding(), 0u);
-  EXPECT_FALSE(lessee.take(offer(8, 5, 100), 100.8));  // a word about the former lease
+  EXPECT_FALSE(lessee.handle_lessor_message(offer(8, 5, 100), 100.8));  // a word about the former lease
   EXPECT_EQ(lessee.epoch(), 12u);
 }
 
 // A leader that becomes a follower again must not take a late answer from before for a lease.
 TEST_F(LesseeTest, AnswersToProbesFromBeforeAResetRenewNothing) {
-  lessee.take(offer(8, 1, 100), 100.1);
+  lessee.handle_lessor_message(offer(8, 1, 100), 100.1);
   lessee.reset(101);
-  lessee.take(offer(8, 1, 100.5), 101.5);
+  lessee.handle_lessor_message(offer(8, 1, 100.5), 101.5);
   EXPECT_FALSE(lessee.valid(101.6));
 }
 
@@ -270,14 +270,14 @@
     s.teams.push_back({"red", 8, 16, 0, 0});
     return s;
   }
-  Lessor::Ledgers ledgers() {
+  Lessor::LeaderAccounts ledgers() {
     return {[this](protocol::JobId id) { return views.contains(id) ? views.at(id) : JobView{}; },
             [this](const std::string&) { return used; }};
   }
   void begin(const std::vector<StoredLease>& records = {}) {
     lessor.begin(kTerm, now);
     EXPECT_TRUE(lessor.needs_loading());
-    lessor.loading_begins();
+    lessor.loading_started();
     lessor.loaded(records, now);
   }
   LesseeMessage hello() {
@@ -302,7 +302,7 @@
   }
   bool send_to_lessor(const LesseeMessage& message, const std::string& member = "m-1",
                       std::uint64_t incarnation = kIncarnation) {
-    const auto answer = lessor.take(member, incarnation, message, now);
+    const auto answer = lessor.handle_lessee_message(member, incarnation, message, now);
     if (answer) reply = *answer;
     return answer.has_value();
   }
@@ -571,7 +571,7 @@
   lessor.not_written(writes[0].key, true);
   EXPECT_TRUE(lessor.needs_loading());
   EXPECT_FALSE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
-  lessor.loading_begins();
+  lessor.loading_started();
   lessor.loaded({}, now);
   const auto before = reply.lessor_incarnation;
   send_to_lessor(say(4));
@@ -620,16 +620,16 @@
 
 TEST(Claims, TheOldestGangGoesFirst) {
   Claims claims;
-  claims.note("red", 7, cpus(10), true, 1);
-  claims.note("red", 3, cpus(12), true, 2);
-  claims.note("red", 9, cpus(1), false, 0);
+  claims.record_claim("red", 7, cpus(10), true, 1);
+  claims.record_claim("red", 3, cpus(12), true, 2);
+  claims.record_claim("red", 9, cpus(1), false, 0);
   EXPECT_TRUE(claims.reserved_before("red", 7).is_zero());
   EXPECT_EQ(claims.reserved_before("red", 3), cpus(10));
   EXPECT_EQ(claims.reserved_before("blue", 3), Amount{});
-  claims.note("red", 3, cpus(12), true, 4);
+  claims.record_claim("red", 3, cpus(12), true, 4);
   claims.drop_stale(1 + c::kClaimStaleS + 0.1);
   EXPECT_TRUE(claims.reserved_before("red", 3).is_zero());
-  claims.settled("red", 3);
+  claims.drop_claim("red", 3);
   EXPECT_TRUE(claims.empty("red"));
 }
 
