--- a/src/quota/allotter.cpp
+++ b/src/quota/allotter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// What the member lacks to meet the demand that it sees, beyond what it has promised already.
+// The member's recent demand beyond the unpromised capacity of its part.
 Amount unmet_demand(const MemberDemand& member) {
   return positive(member.demand - (member.size - member.promised));
 }
@@ -32,21 +32,22 @@
 
 std::map<std::string, Amount> allot(const TeamBudget& budget,
                                     const std::map<std::string, MemberDemand>& members) {
-  const auto part_of = [&](std::int64_t limit) {
+  const auto leasable_share = [&](std::int64_t limit) {
     return static_cast<std::int64_t>(static_cast<double>(limit) * budget.share);
   };
-  const Amount most{part_of(budget.limit.cpus), part_of(budget.limit.gpus)};
-  // Up to the guarantee all that may be leased is handed out at once. Beyond it half stays with the leader at
-  // each step, so that one burst of demand does not take what other controllers will need.
-  const Amount rest = positive(smaller(budget.available, most - budget.leased));
-  const Amount guaranteed = smaller(rest, positive(budget.guarantee - budget.leased));
-  const Amount beyond = rest - guaranteed;
-  const Amount hand_out = guaranteed + Amount{beyond.cpus / 2, beyond.gpus / 2};
-  Amount lacked;
-  for (const auto& [name, member] : members) lacked += unmet_demand(member);
+  const Amount leasable_max{leasable_share(budget.limit.cpus), leasable_share(budget.limit.gpus)};
+  // All leasable capacity up to the guarantee is allotted at once. Beyond the guarantee, the leader keeps
+  // half at each step, so that one burst of demand does not take the capacity that other controllers will
+  // need.
+  const Amount leasable = positive(smaller(budget.available, leasable_max - budget.leased));
+  const Amount guaranteed = smaller(leasable, positive(budget.guarantee - budget.leased));
+  const Amount beyond_guarantee = leasable - guaranteed;
+  const Amount allotted = guaranteed + Amount{beyond_guarantee.cpus / 2, beyond_guarantee.gpus / 2};
+  Amount total_unmet;
+  for (const auto& [name, member] : members) total_unmet += unmet_demand(member);
   std::map<std::string, Amount> growth;
   for (const auto& [name, member] : members) {
-    const Amount by = proportional_share(unmet_demand(member), lacked, hand_out);
+    const Amount by = proportional_share(unmet_demand(member), total_unmet, allotted);
     if (justifies_write(member, by)) growth[name] = by;
   }
   return growth;
--- a/src/quota/allotter.hpp
+++ b/src/quota/allotter.hpp
@@ -1,4 +1,4 @@
-// How much of a team's limit each controller should hold in its lease, by what was asked of it lately.
+// Divides the leasable capacity of a team's limit between controllers according to their recent demand.
 #pragma once
 
 #include <map>
@@ -8,24 +8,25 @@
 
 namespace robinford::quota {
 
-// One controller's view of one team.
+// One controller's part of a team's limit, and its demand.
 struct MemberDemand {
-  Amount size;      // of its part
-  Amount promised;  // of it, to jobs
-  Amount demand;    // asked of it lately, granted or not
+  Amount size;      // of the part
+  Amount promised;  // portion of the part that is promised to jobs
+  Amount demand;    // recently requested from this controller, whether granted or not
 };
 
 struct TeamBudget {
   Amount guarantee, limit;
-  Amount available;  // of the limit: neither used nor in any lease nor claimed
-  Amount leased;     // in leases by now
-  double share = 0;  // of the limit that may be leased
+  Amount available;  // limit minus use and minus the exposure of leases
+  Amount leased;     // sum of the team's parts in all leases
+  double share = 0;  // largest fraction of the limit that may be leased
 };
 
-// Enlargements by member, only of those worth a write: together within `available`, and within the share of
-// the limit that may be leased. Demand within the guarantee is met before demand beyond it; where it can't
-// all be met, members get parts in proportion to what they lack. A member's part grows by steps of at least
-// an eighth, so that sizes do not follow each small change of demand.
+// Returns by how much each member's part grows. All growth together stays within `available` and within the
+// share of the limit that may be leased. Capacity up to the guarantee is allotted in full, capacity beyond it
+// only by half at each call. If the capacity does not meet all demand, each member gets a share proportional
+// to its unmet demand. A part grows by at least an eighth of its size, so that sizes do not follow each small
+// change of demand; members with a smaller growth are left out.
 std::map<std::string, Amount> allot(const TeamBudget& budget,
                                     const std::map<std::string, MemberDemand>& members);
 
--- a/src/quota/amount.hpp
+++ b/src/quota/amount.hpp
@@ -35,7 +35,7 @@
   }
 };
 
-// Whether `need` fits into `available`. A need of nothing always fits, also where more than all is taken.
+// Whether `need` fits into `available`. A need of zero always fits, even if `available` is negative.
 inline bool covers(const Amount& available, const Amount& need) {
   return (need.cpus <= 0 || need.cpus <= available.cpus) && (need.gpus <= 0 || need.gpus <= available.gpus);
 }
@@ -48,7 +48,7 @@
   return {std::max(left.cpus, right.cpus), std::max(left.gpus, right.gpus)};
 }
 
-// The amount without what is below zero.
+// The amount with negative components set to zero.
 inline Amount positive(const Amount& amount) { return larger(amount, {}); }
 
 // How many times `each` fits into `available`, at most `most`.
@@ -59,7 +59,8 @@
   return static_cast<std::uint32_t>(times);
 }
 
-// What a task takes is rounded up and what a limit allows is rounded down, so that rounding never adds room.
+// A task's need is rounded up and a limit is rounded down, so that rounding never permits more than the
+// limit.
 inline Amount rounded_up(double cpus, double gpus) {
   const auto thousandths = [](double value) {
     return static_cast<std::int64_t>(std::ceil(value * constants::kThousandths - constants::kAmountRounding));
--- a/src/quota/claims.cpp
+++ b/src/quota/claims.cpp
@@ -6,7 +6,8 @@
 
 namespace robinford::quota {
 
-void Claims::record_claim(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now) {
+void Claims::record_claim(const std::string& team, protocol::JobId job, const Amount& need, bool gang,
+                          double now) {
   const auto [entry, added] = teams_[team].try_emplace(job);
   auto& claim = entry->second;
   if (added) claim.first_refused = now;
--- a/src/quota/claims.hpp
+++ b/src/quota/claims.hpp
@@ -1,4 +1,4 @@
-// Jobs that the leader may not place because capacity of their team's limit is leased to other controllers.
+// Jobs that the leader may not place yet because the capacity they need is leased to other controllers.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 
 namespace robinford::quota {
 
+// One waiting job's demand for leased capacity.
 struct Claim {
   double first_refused = 0, last_refused = 0;
   Amount need;
@@ -21,15 +22,17 @@
   void clear() { teams_.clear(); }
   void record_claim(const std::string& team, protocol::JobId job, const Amount& need, bool gang, double now);
   void drop_claim(const std::string& team, protocol::JobId job);
-  // Claims that were not repeated lately: their jobs were placed, ended, or wait for something else.
+  // Removes claims not repeated for `kClaimStaleS`: their jobs were placed, ended, or wait for another
+  // reason.
   void drop_stale(double now);
 
   bool empty(const std::string& team) const { return !teams_.contains(team); }
   const std::map<std::string, std::map<protocol::JobId, Claim>>& teams() const { return teams_; }
-  // What the longest waiting gang of the team needs, unless that is `job` itself: nobody else may take it, or
-  // narrow jobs would take the capacity piece by piece as it is recalled.
+  // Capacity reserved for the team's longest waiting gang; zero if that is `job` itself or no gang waits.
+  // Without this reservation, small jobs would use recalled capacity as it arrives, and the gang would
+  // starve.
   Amount reserved_before(const std::string& team, protocol::JobId job) const;
-  // What all claims of the team need together.
+  // Sum of the team's claims.
   Amount total(const std::string& team) const;
 
  private:
--- a/src/quota/json_schema.cpp
+++ b/src/quota/json_schema.cpp
@@ -27,7 +27,8 @@
   const valijson::adapters::BoostJsonAdapter adapter(value);
   if (validator.validate(compiled_->schema, adapter, &results)) return std::nullopt;
   valijson::ValidationResults::Error error;
-  // The last violation found is the innermost one.
+  // Valijson reports a violation in a nested value before those of the enclosing values, so the last one is
+  // the outermost.
   std::string text = "is not valid";
   while (results.popError(error)) {
     std::string path;
--- a/src/quota/json_schema.hpp
+++ b/src/quota/json_schema.hpp
@@ -1,4 +1,4 @@
-// Checks JSON values against a JSON Schema (draft 7), by Valijson.
+// Validates JSON values against a JSON Schema (draft 7) with Valijson.
 #pragma once
 
 #include <boost/json.hpp>
@@ -10,13 +10,13 @@
 
 class JsonSchema {
  public:
-  // The text is part of the program: one that can't be read throws.
+  // The schema is part of the program, so an invalid one is a programming error: the constructor throws.
   explicit JsonSchema(const std::string& schema_text);
   ~JsonSchema();
   JsonSchema(const JsonSchema&) = delete;
   JsonSchema& operator=(const JsonSchema&) = delete;
 
-  // The first violation, with the path of the value that causes it; nothing for a valid value.
+  // Describes the outermost violation, with the path of its value; empty for a valid value.
   std::optional<std::string> violation(const boost::json::value& value) const;
 
  private:
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -7,7 +7,7 @@
 namespace {
 std::string wrong_sum(const char* what, const std::string& member, const std::string& team) {
   std::string text(what);
-  return text.append(" of ").append(member).append(", team ").append(team);
+  return text.append(": mismatch in the part of ").append(member).append(", team ").append(team);
 }
 }  // namespace
 
@@ -55,7 +55,8 @@
 
 void LeaseLedger::shrink_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
-  // What is promised stays, whatever the lessee says: its grants may have been told before.
+  // The part never shrinks below the grants registered from it, whatever size the lessee reports: those
+  // grants may have arrived before the report.
   const Amount lower = larger(part.promised, smaller(part.size, size));
   change_exposure(team, lower - part.size);
   part.size = lower;
@@ -156,11 +157,13 @@
       const auto& [promised, covered] = sums[{member, team}];
       if (!(promised == part.promised) || !(covered == part.covered))
         return wrong_sum("grants", member, team);
-      if (!covers(part.size, part.promised)) return wrong_sum("promises beyond the part", member, team);
+      if (!covers(part.size, part.promised))
+        return wrong_sum("promised capacity exceeds the size", member, team);
       exposure[team] += part.size - part.covered;
     }
   for (const auto& [team, amount] : exposure_)
-    if (!(exposure[team] == amount)) return "team " + team + ": exposure does not add up";
+    if (!(exposure[team] == amount))
+      return "team " + team + ": exposure does not match the sum of its leases";
   return {};
 }
 
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -1,8 +1,8 @@
-// What the leader knows of all quota leases: their parts, the grants made from them, and how much capacity
-// they still permit (their *exposure*).
+// The leader's ledger of all quota leases: their parts, the grants made from them, and the capacity that
+// lessees may still cause to be used (the *exposure*).
 //
-// A granted task that is placed is *covered*: it stands in the leader's account of running tasks, so it is
-// not counted in the exposure a second time. For each team: exposure = sum over leases of (size - covered).
+// A granted task that is placed is *covered*: the leader already counts it among the running tasks, so the
+// exposure leaves it out. For each team: exposure = sum over leases of (size - covered).
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
 struct GrantEntry {
   std::string member, team;
   std::uint32_t tasks = 0;
-  Amount each;
-  std::uint32_t running = 0;  // tasks of the job that are placed, granted or not
-  double changed_at = 0;      // when it was registered, or `running` changed last
-  bool job_was_live = false;  // the job has been seen in the ledger of jobs
+  Amount each;                // of one task
+  std::uint32_t running = 0;  // placed tasks of the job, whether granted or not
+  double changed_at = 0;      // time of registration or of the last change of `running`
+  bool job_was_live = false;  // the job has appeared as live in the job ledger
   std::uint32_t covered() const { return std::min(tasks, running); }
 };
 
@@ -30,18 +30,20 @@
   std::uint64_t revision = 0;
   Amount size, promised, covered;
   Amount demand;
-  std::uint32_t slice = 0;  // of the durable record in which it stands
-  bool durable = false;     // the present revision is on record, so that the lessee may be told
+  std::uint32_t slice = 0;  // number of the durable record that holds this part
+  bool durable = false;     // the current revision is recorded, so it may be sent to the lessee
   double grown_at = 0;
-  Amount keep;  // what it should shrink to; `size` when nothing is recalled
+  Amount keep;  // size to which the lessee should shrink it; equals `size` when nothing is recalled
   Amount idle() const { return size - promised; }
 };
 
 struct LeaseEntry {
   std::uint64_t epoch = 0, incarnation = 0;
-  double ends_at = 0;  // steady; no earlier by the lessee's clock, whatever it drifts
-  bool synchronized = false;
-  std::uint64_t last_probe = 0;  // of its holder: earlier ones are late copies
+  // Steady clock; by then the lease has expired at the lessee, within the allowed clock drift.
+  double ends_at = 0;
+  bool synchronized = false;  // the lessee uses this lessor incarnation and epoch
+  // From the lessee; a message with the same or an earlier probe is a late duplicate.
+  std::uint64_t last_probe = 0;
   std::uint64_t grants_taken = 0, refunds_made = 0;
   std::deque<Refund> refunds;  // issued refunds that the lessee has not confirmed
   std::map<std::string, PartEntry> parts;
@@ -59,28 +61,29 @@
   const GrantEntry* grant(protocol::JobId job) const;
 
   LeaseEntry& open(const std::string& member, std::uint64_t epoch, std::uint64_t incarnation, double ends_at);
-  // Its parts permit nothing any more, and its grants are void.
+  // Removes the lease with its parts and grants.
   void close(const std::string& member);
-  // A part gets a new size under a new revision, or is put in as read from its record.
+  // Sets the size and revision of a part: a growth, or the values read from its record.
   void set_part(const std::string& member, const std::string& team, std::uint64_t revision,
                 const Amount& size);
-  // The lessee gave capacity up; the size never grows this way.
+  // Applies a smaller size reported by the lessee. Never grows the part.
   void shrink_part(const std::string& member, const std::string& team, const Amount& size);
 
-  // False, and nothing changes: the part does not cover it, or the job is granted already.
+  // Registers a grant. Returns false and changes nothing if the part does not cover it, the job already has a
+  // grant, or the grant is empty.
   bool add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running, double now);
-  // So many tasks are not promised any more; queued for the lessee.
+  // Takes `tasks` tasks back from the job's grant and queues the refund for the lessee.
   void refund(protocol::JobId job, std::uint32_t tasks);
-  // A grant that was not taken in is refunded as it came.
+  // Queues a refund of all tasks of a grant that was not registered.
   void queue_refusal(const std::string& member, const NewGrant& new_grant);
   void drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken);
   void change_running_tasks(protocol::JobId job, std::int64_t by, double now);
   void mark_job_live(protocol::JobId job);
 
-  // What the leases still permit of the team's limit beyond what is placed.
+  // Capacity of the team that leases permit beyond the placed tasks of their grants.
   Amount exposure(const std::string& team) const;
   Amount leased(const std::string& team) const;
-  // What is wrong with the running sums; empty when nothing is. For tests.
+  // Describes the first running sum that does not match its entries; empty when all match. For tests.
   std::string audit() const;
 
  private:
--- a/src/quota/lease_options.cpp
+++ b/src/quota/lease_options.cpp
@@ -48,7 +48,7 @@
   return object;
 }
 
-// The message of a schema violation names a key only by its path, so each key is checked alone first.
+// Checks each key separately, so that the error message names the key: a schema violation has only a path.
 void check_keys(const boost::json::object& section) {
   const JsonSchema schema(kSchema);
   for (const auto& [key, value] : section) {
--- a/src/quota/lease_options.hpp
+++ b/src/quota/lease_options.hpp
@@ -1,4 +1,4 @@
-// The switch file of quota leases (`deploy/quota-leases.toml`), read and checked.
+// Reads and validates the options file of quota leases (`deploy/quota-leases.toml`).
 #pragma once
 
 #include <stdexcept>
@@ -6,21 +6,21 @@
 
 namespace robinford::quota {
 
-// A switch file that can't be used. The message names the key.
+// The options file can't be read or is invalid. The message names the key, the line or the path.
 class LeaseOptionsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// All controllers of a site should use the same values; `ttl_s` must be the same.
+// All controllers of a site should use the same values. `ttl_s` must be the same at all of them.
 struct LeaseOptions {
   bool enabled = false;
-  double ttl_s = 6;           // s: a lease that is not renewed for so long ends
-  double leased_share = 0.5;  // of a team's limit, at most, that may stand in leases
-  double rebalance_s = 1;     // s between two changes of one controller's lease
-  double idle_return_s = 5;   // s: capacity of a lease that nobody asked for is returned after so long
-  double grant_idle_s = 10;   // s: a grant whose tasks have not started by then may be revoked for others
-  double write_share = 0.1;   // of the state service's changes a second that leases may take
+  double ttl_s = 6;           // s: a lease that is not renewed for this long expires
+  double leased_share = 0.5;  // largest fraction of a team's limit that may be leased
+  double rebalance_s = 1;     // s: interval between two growths of one controller's lease
+  double idle_return_s = 5;   // s: idle capacity of a part is returned after this long without a request
+  double grant_idle_s = 10;   // s: granted tasks not started after this long may be revoked for waiting jobs
+  double write_share = 0.1;   // fraction of the state service's write rate that leases may use
 };
 
 LeaseOptions parse_lease_options(const std::string& toml_text);
--- a/src/quota/lease_record.cpp
+++ b/src/quota/lease_record.cpp
@@ -15,7 +15,7 @@
 constexpr char kIncarnation[] = "inc";
 constexpr char kParts[] = "parts";
 
-// `_` is the writer's mark, which every value carries.
+// Stored values also have the writer's mark `_`, so further properties are allowed.
 constexpr char kSchema[] = R"({
   "type": "object",
   "required": ["member", "epoch", "inc", "parts"],
@@ -83,7 +83,7 @@
       part.team = text_of(fields[0]);
       part.size = {fields[1].to_number<std::int64_t>(), fields[2].to_number<std::int64_t>()};
       part.revision = fields[3].to_number<std::uint64_t>();
-      if (!teams.insert(part.team).second) return RecordError{"team " + part.team + " stands twice"};
+      if (!teams.insert(part.team).second) return RecordError{"team " + part.team + " is listed twice"};
       record.parts.push_back(std::move(part));
     }
   } catch (const boost::system::system_error& error) {
--- a/src/quota/lease_record.hpp
+++ b/src/quota/lease_record.hpp
@@ -1,4 +1,4 @@
-// Durable records of quota leases, below `q/` in the state service.
+// Durable records of quota leases, stored under `q/` in the state service.
 #pragma once
 
 #include <boost/json.hpp>
@@ -18,16 +18,16 @@
 struct LeasePart {
   std::string team;
   Amount size;
-  std::uint64_t revision = 0;  // grows with each enlargement; unique within the lease
+  std::uint64_t revision = 0;  // increases with each growth of the part; unique within the lease
   bool operator==(const LeasePart&) const = default;
 };
 
-// The lease of one controller, or a slice of it where all parts do not fit into one value. Slices of one
-// lease have the same epoch; a slice with a lower epoch than another one of the same member is void.
+// The lease of one controller, or one slice of it if its parts do not fit into one value. All slices of a
+// lease have the same epoch; a slice with a lower epoch than another slice of the same member is void.
 struct LeaseRecord {
   std::string member;
-  std::uint64_t epoch = 0;        // number of the lease, never used again: a fencing token
-  std::uint64_t incarnation = 0;  // the process that holds it
+  std::uint64_t epoch = 0;        // number of the lease, never reused: a fencing token
+  std::uint64_t incarnation = 0;  // of the process that holds the lease
   std::vector<LeasePart> parts;
   bool operator==(const LeaseRecord&) const = default;
 };
@@ -39,7 +39,7 @@
 std::string lease_key(const std::string& member, std::uint32_t slice);
 boost::json::object encode_lease(const LeaseRecord& record);
 std::variant<LeaseRecord, RecordError> decode_lease(const boost::json::value& value);
-// Bytes of one part in an encoded record, an upper bound.
+// Upper bound for the bytes of one part in an encoded record.
 std::size_t encoded_size(const LeasePart& part);
 
 }  // namespace robinford::quota
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -31,7 +31,7 @@
 }
 
 std::optional<NewGrant> Lessee::grant(const protocol::JobSpec& spec, double now) {
-  // A job that waits for others would hold capacity that it can't use yet.
+  // A job with dependencies could not use the capacity yet, and would keep it from jobs that can start.
   if (!spec.dependencies.empty() || grants_.contains(spec.id)) return std::nullopt;
   const Amount each = rounded_up(spec.cpus, spec.gpus);
   note_demand(spec.team, each * spec.tasks, now);
@@ -97,7 +97,7 @@
 }
 
 bool Lessee::handle_lessor_message(const LessorMessage& message, double now) {
-  // Late words of an earlier leader, or for an earlier process of this member.
+  // A delayed message from an earlier lessor or lease, or one addressed to an earlier process of this member.
   if (message.incarnation != incarnation_ || message.lessor_incarnation < lessor_incarnation_ ||
       message.epoch < epoch_)
     return false;
@@ -141,7 +141,8 @@
   grants_made_ = grants_sent_ = refunds_taken_ = 0;
 }
 
-// A leader that took over knows none of the grants: all outstanding ones are told again, under new numbers.
+// A new lessor incarnation knows none of the grants: all outstanding grants are queued again, under new
+// numbers.
 void Lessee::start_lessor_incarnation(std::uint64_t lessor_incarnation) {
   lessor_incarnation_ = lessor_incarnation;
   unacknowledged_.clear();
@@ -150,7 +151,7 @@
     unacknowledged_.push_back({++grants_made_, job, grant.team, grant.tasks, grant.each});
 }
 
-// Each refund takes effect once: repeated ones have numbers that were taken already.
+// Applies refunds in order and once: resent refunds have numbers that were applied already.
 void Lessee::apply_refund(const Refund& refund) {
   if (refund.number != refunds_taken_ + 1) return;
   ++refunds_taken_;
@@ -164,7 +165,7 @@
   if (grant.tasks == 0) grants_.erase(found);
 }
 
-// True when capacity that the lessor recalls was given up.
+// Returns whether capacity was given up because the lessor recalls it.
 bool Lessee::apply_offered_part(const OfferedPart& offered, double now) {
   auto& part = parts_[offered.team];
   if (offered.revision > part.revision) {
@@ -194,7 +195,8 @@
   return {decayed(found->second.sum.cpus), decayed(found->second.sum.gpus)};
 }
 
-// 0 means that nothing is asked, so the moment is never 0.
+// Time of sending for a renewal's probe, in milliseconds. At least 1, because 0 marks a message without a
+// probe.
 std::uint64_t Lessee::probe_time(double now) const {
   return static_cast<std::uint64_t>(std::max(1.0, std::floor(now * c::kMsPerS)));
 }
@@ -220,8 +222,10 @@
   std::map<std::string, Amount> promised;
   for (const auto& [job, grant] : grants_) promised[grant.team] += grant.each * grant.tasks;
   for (const auto& [team, part] : parts_) {
-    if (!(promised[team] == part.promised)) return "team " + team + ": promises do not add up";
-    if (!covers(part.size, part.promised)) return "team " + team + ": promised more than it holds";
+    if (!(promised[team] == part.promised))
+      return "team " + team + ": promised capacity does not match the sum of grants";
+    if (!covers(part.size, part.promised))
+      return "team " + team + ": promised capacity exceeds the size of the part";
   }
   return {};
 }
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -1,9 +1,10 @@
-// The lessee: grants capacity of the teams' limits from this controller's lease, without asking anybody.
+// The lessee: admits jobs against this controller's lease on parts of the teams' limits, without a request to
+// the leader.
 //
-// Invariant: for each team, what outstanding grants promise is at most the part that the lessee holds, and
-// the part that it holds is at most what the lessor counts as leased to it. Nothing is granted once the lease
-// could be over by the lessor's clock, however late the call comes: each grant compares with the present
-// moment.
+// Invariant: for each team, the capacity promised by outstanding grants is at most the part that the lessee
+// holds, and that part is at most what the lessor counts as leased to it. Every grant checks the current time
+// against the lease's end, so that a process that was suspended grants nothing from a lease that may have
+// expired by the lessor's clock.
 #pragma once
 
 #include <cstdint>
@@ -21,43 +22,49 @@
 
 enum class LesseeState : std::uint8_t {
   kNone,     // no lease
-  kHolding,  // has a lease; whether it is still valid is a question of the moment
-  kExpired,  // the lease was over when it was last looked at; it may be renewed while the lessor keeps it
+  kHolding,  // has a lease; `Lessee::valid` tells whether it is valid at a given time
+  kExpired,  // the lease has expired here; it may still be renewed while the lessor keeps it
 };
 const char* to_text(LesseeState state);
 
 class Lessee {
  public:
   struct Counters {
-    std::uint64_t granted = 0;         // jobs granted here
-    std::uint64_t granted_tasks = 0;   // and their tasks
-    std::uint64_t not_covered = 0;     // jobs that the lease could not cover
-    std::uint64_t not_valid = 0;       // jobs that came while there was no valid lease
-    std::uint64_t refunded_tasks = 0;  // tasks taken back
-    std::uint64_t leases_lost = 0;     // leases that the lessor closed, with their grants
+    std::uint64_t granted = 0;        // jobs granted from the lease
+    std::uint64_t granted_tasks = 0;  // tasks of these grants
+    // Jobs not granted: the lease did not cover them or too many grants were outstanding.
+    std::uint64_t not_covered = 0;
+    std::uint64_t not_valid = 0;       // jobs submitted while there was no valid lease
+    std::uint64_t refunded_tasks = 0;  // granted tasks that the lessor refunded
+    std::uint64_t leases_lost = 0;     // leases replaced by a new one of the lessor; their grants are void
   };
 
-  // What is still promised to one job.
+  // Capacity that is still promised to one job.
   struct Grant {
     std::string team;
     std::uint32_t tasks = 0;
-    Amount each;
+    Amount each;  // of one task
   };
 
   Lessee(const LeaseOptions& options, std::uint64_t incarnation);
 
-  // Promises capacity to a job that was just submitted: all tasks of a gang or none, of an array as many as
-  // the part covers. The same job asked for again gets nothing new.
+  // Promises capacity to a newly submitted job: for a gang all tasks or none, for an array as many tasks as
+  // the part covers. Returns nothing if the job has a grant already, depends on other jobs, or cannot be
+  // covered by a valid lease.
   std::optional<NewGrant> grant(const protocol::JobSpec& spec, double now);
-  // Returns idle capacity that nobody asked for lately. To be called now and then.
+  // Gives up idle capacity of parts without a request for `idle_return_s`, and notes an expired lease. Call
+  // it periodically.
   void tick(double now);
-  // A renewal: all parts and demands, and all grants that the lessor has not acknowledged.
+  // Builds a renewal request: all parts and demands, and the grants that the lessor has not acknowledged (as
+  // many as one message holds).
   LesseeMessage renewal(double now);
-  // Only the grants that were never sent. Nothing when there are none.
+  // Builds a message with grants that were never sent; empty when there are none. Does not renew the lease.
   std::optional<LesseeMessage> new_grants();
-  // The leader's word. True: it asks for an answer at once.
+  // Applies a message of the lessor. Returns whether to send a renewal at once instead of at the next
+  // interval.
   bool handle_lessor_message(const LessorMessage& message, double now);
-  // This controller leads now, or the switch is off: whatever lease there is, is not used any more.
+  // Drops the lease and its grants, because this controller became the leader. Replies to earlier probes no
+  // longer renew a lease.
   void reset(double now);
 
   LesseeState state() const { return state_; }
@@ -66,20 +73,20 @@
   std::size_t outstanding() const { return grants_.size(); }
   const std::map<protocol::JobId, Grant>& grants() const { return grants_; }
   Amount held(const std::string& team) const;
-  // Held and promised, summed over the teams.
+  // Capacity held in the lease, and promised of it, summed over the teams.
   Amount held() const;
   Amount promised() const;
   const Counters& counters() const { return counters_; }
-  // What breaks the invariant; empty when nothing does. For tests.
+  // Describes the first violation of the invariant; empty when there is none. For tests.
   std::string audit() const;
 
  private:
   struct Part {
     std::uint64_t revision = 0;
     Amount size, promised;
-    double last_requested_at = 0;  // when it was last asked for
+    double last_requested_at = 0;  // time of the last request or growth
   };
-  // What was asked for lately: a sum that halves in constant time.
+  // Recent demand of a team: an exponentially decaying sum with the half-life `kDemandHalfLifeS`.
   struct Demand {
     Amount sum;
     double at = 0;
@@ -99,7 +106,7 @@
   std::uint64_t epoch_ = 0;
   std::uint64_t lessor_incarnation_ = 0;
   double valid_until_ = -1e9;
-  double reset_at_ = -1e9;  // echoes of earlier probes renew nothing
+  double reset_at_ = -1e9;  // replies to probes sent before this time do not renew the lease
   std::map<std::string, Part> parts_;
   std::map<protocol::JobId, Grant> grants_;
   std::deque<NewGrant> unacknowledged_;
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -1,5 +1,5 @@
-// The lessor's lessees, time and launches; recall and growth are in lessor_balance.cpp, records in
-// lessor_records.cpp.
+// The lessor's message handling, periodic work and placement check. Recall and growth of parts are in
+// lessor_balance.cpp, durable records in lessor_records.cpp.
 #include "quota/lessor.hpp"
 
 #include <spdlog/spdlog.h>
@@ -66,14 +66,15 @@
 
 std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptBits) | ++epochs_; }
 
-// No lessee that was answered by now takes its lease for valid after this, whatever the two clocks drift.
+// The moment after which no lessee that received its last reply by `now` still considers its lease valid,
+// within the allowed drift of both clocks.
 double Lessor::lease_end(double now) const {
   return now + options_.ttl_s * (1 + c::kClockDrift) + c::kLeaseMarginS;
 }
 
 Lessor::TeamLimit Lessor::limit_of(const std::string& team) const {
   const auto* known = settings_.team(team);
-  if (known == nullptr) return {};  // removed from the settings: nothing of it may be leased
+  if (known == nullptr) return {};  // not in the settings: no capacity may be leased
   TeamLimit limit;
   limit.unlimited = known->cpus_max >= c::kAmountMax;
   limit.guarantee = rounded_down(known->cpus, known->gpus);
@@ -100,8 +101,9 @@
   write_all_records(member, now + c::kLazyRecordS);
 }
 
-// The process that held the lease is over, or has a later one by now: it can't grant from it any more. A
-// lower epoch proves nothing, since it may be a late copy; who gave a lease up does not renew it.
+// Whether the lessee can no longer grant from this lease, because its process was restarted or it holds a
+// later lease. A lower epoch does not show that: the message may be a delayed duplicate. Such a message does
+// not renew the lease either.
 bool Lessor::is_superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch) {
   return incarnation != lease.incarnation || epoch > lease.epoch;
 }
@@ -112,7 +114,7 @@
   now_ = now;
   if (state_ != LessorState::kServing) return std::nullopt;
   auto* lease = ledger_.find(member);
-  // A late word of a former process.
+  // A delayed message from an earlier process of the same member.
   if (lease != nullptr && incarnation < lease->incarnation) return std::nullopt;
   if (lease != nullptr && is_superseded(*lease, incarnation, message.epoch)) {
     ++counters_.leases_superseded;
@@ -122,13 +124,13 @@
   if (lease == nullptr) lease = &open_lease(member, incarnation, now);
   const bool same_incarnation =
       message.epoch == lease->epoch && message.lessor_incarnation == lessor_incarnation_;
-  // A late copy: it must not begin the lessor incarnation anew, or what either side says in it is not
-  // understood any more.
+  // A duplicate or reordered message. It must not reset the numbering of grants and refunds below: the two
+  // sides would then number them differently and ignore each other's.
   if (message.probe != 0 && message.probe <= lease->last_probe) return std::nullopt;
   if (!same_incarnation) {
     if (message.probe == 0) return std::nullopt;
-    // It learns lease and lessor incarnation from the answer, and then tells its grants anew. Nothing is
-    // renewed before.
+    // The lessee learns the epoch and the lessor incarnation from this reply and then resends its grants
+    // under new numbers. The lease is not renewed until then.
     lease->last_probe = message.probe;
     lease->synchronized = false;
     lease->grants_taken = lease->refunds_made = 0;
@@ -148,10 +150,11 @@
 
 void Lessor::register_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
                              double now) {
-  // A lessee that takes none of its refunds gets no further grants.
+  // Refused grants queue refunds, so a lessee that never acknowledges refunds would grow this queue without
+  // bound. No further grants are registered while it is full.
   if (lease.refunds.size() >= c::kGrantsMost) return;
   for (const auto& new_grant : message.grants) {
-    if (new_grant.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
+    if (new_grant.number != lease.grants_taken + 1) continue;  // a duplicate, or an earlier grant is missing
     ++lease.grants_taken;
     const auto view = leader_accounts_.job(new_grant.job);
     const bool over = view.state == JobView::State::kOver;
@@ -179,7 +182,7 @@
     }
     auto& part = found->second;
     part.demand = held.demand;
-    // Under another revision it speaks of a size that the part does not have any more, or not yet.
+    // With another revision, the reported size belongs to an earlier or later state of the part.
     if (held.revision != part.revision || !part.durable || held.size == part.size) continue;
     ledger_.shrink_part(member, held.team, held.size);
     write_record(member, part.slice, now + c::kLazyRecordS);
@@ -247,8 +250,8 @@
   for (const auto job : jobs) reconcile_grant(job, now);
 }
 
-// Refunds what the job can't use any more. Tasks that are placed stay granted until they are off their
-// machines: their capacity is not free before.
+// Refunds the tasks of a grant that the job no longer needs. Placed tasks stay granted until they have left
+// their machines, because their capacity is in use until then.
 void Lessor::reconcile_grant(protocol::JobId job, double now) {
   const auto view = leader_accounts_.job(job);
   const auto& grant = *ledger_.grant(job);
@@ -262,7 +265,7 @@
       needed = grant.running;
       break;
     case JobView::State::kUnknown:
-      // Its submission may still be on its way.
+      // The job's submission may arrive after the grant.
       if (!grant.job_was_live && now - grant.changed_at < c::kGrantOrphanS) return;
       needed = grant.running;
       break;
@@ -287,21 +290,22 @@
   };
   const Amount used{nearest(used_cpus), nearest(used_gpus)};
   if (!covers(limit.limit - used, need)) return false;
-  // What the job was granted stands in the exposure already.
+  // Capacity granted to this job is already part of the exposure.
   const auto* grant = ledger_.grant(spec.id);
   Amount granted;
   if (grant != nullptr) granted = grant->each * std::min(tasks, grant->tasks - grant->covered());
-  const Amount rest = positive(need - granted);
-  if (rest.is_zero()) return true;
-  const Amount kept{nearest(kept_cpus), 0};
+  const Amount ungranted = positive(need - granted);
+  if (ungranted.is_zero()) return true;
+  const Amount promised_elsewhere{nearest(kept_cpus), 0};
   const Amount reserved = claims_.reserved_before(spec.team, spec.id);
-  const Amount open = limit.limit - used - ledger_.exposure(spec.team);
-  if (covers(open - larger(kept, reserved), rest)) {
+  const Amount unleased = limit.limit - used - ledger_.exposure(spec.team);
+  if (covers(unleased - larger(promised_elsewhere, reserved), ungranted)) {
     claims_.drop_claim(spec.team, spec.id);
     return true;
   }
-  // Only what would fit without the leases waits for them.
-  if (!covers(open - kept, rest)) {
+  // The job fits into the limit apart from leased capacity (checked above). It claims leased capacity, unless
+  // only the reservation for another gang holds it back.
+  if (!covers(unleased - promised_elsewhere, ungranted)) {
     ++counters_.launches_refused;
     const Amount all = each * (spec.gang ? tasks : spec.tasks);
     claims_.record_claim(spec.team, spec.id, smaller(all, limit.limit - used), spec.gang, now_);
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -1,9 +1,11 @@
-// The lessor: hands parts of the teams' limits out to lessees, as long as this controller leads.
+// The lessor: while this controller is the leader, it grants other controllers (lessees) leases on parts of
+// the teams' limits. A lease has one part for each team: the capacity from which its lessee may admit jobs.
 //
-// Invariant, for each team and resource: what is or may be running, plus what outstanding leases still
-// permit, is at most the limit. A part is enlarged in memory first, then on record, and only then told to its
-// lessee; it is made smaller only by the lessee's word under the same revision, or once the lease is surely
-// over. What is unknown counts as taken.
+// Invariant, for each team and resource: the capacity of tasks that run or may run, plus the capacity that
+// outstanding leases still permit, is at most the team's limit. To keep it, a part is enlarged in memory
+// first, then in the durable record, and only then in a message to the lessee. A part shrinks only when the
+// lessee reports a smaller size for the current revision, or when the lease has expired by every clock.
+// Capacity whose state is unknown counts as used.
 #pragma once
 
 #include <boost/json.hpp>
@@ -29,48 +31,49 @@
 
 enum class LessorState : std::uint8_t {
   kIdle,     // this controller does not lead
-  kLoading,  // the records of leases are being read: nothing may be placed
+  kLoading,  // lease records are being read; no task may be placed
   kServing,
 };
 const char* to_text(LessorState state);
 
-// What the leader's ledger of jobs says of one.
+// The state of one job in the leader's job ledger.
 struct JobView {
   enum class State : std::uint8_t { kUnknown, kLive, kOver } state = State::kUnknown;
-  std::uint32_t remaining = 0;  // tasks that are not done
-  std::uint32_t placed = 0;     // tasks that are, or may be, on machines, and reservations
+  std::uint32_t remaining = 0;  // tasks that have not completed
+  std::uint32_t placed = 0;     // tasks that are or may be on machines, plus reservations
 };
 
-// A record as it was read.
+// A lease record as read from the state service.
 struct StoredLease {
   std::string key;
   std::uint64_t mod_revision = 0;
   boost::json::value value;
 };
 
-// A write that the caller carries out, conditional on leadership and on the mod revision.
+// A compare-and-swap write for the caller to submit, conditional on leadership and on the mod revision.
 struct LeaseWrite {
   std::string key;
-  std::uint64_t expected_mod_revision = 0;   // mod revision that the key must have; 0: it must not exist
-  std::optional<boost::json::object> value;  // nothing: delete it
+  std::uint64_t expected_mod_revision = 0;   // mod revision that the key must have; 0: the key must not exist
+  std::optional<boost::json::object> value;  // empty: delete the key
 };
 
 class Lessor : public bookkeeping::LaunchGuard {
  public:
+  // Lookups in the leader's own ledgers.
   struct LeaderAccounts {
     std::function<JobView(protocol::JobId)> job;
-    std::function<Amount(const std::string& team)> used;  // of the team's limit, by the leader's own account
+    std::function<Amount(const std::string& team)> used;  // usage counted against the team's limit
   };
   struct Counters {
-    std::uint64_t grants_taken = 0;    // grants of lessees that were taken in
-    std::uint64_t grants_refused = 0;  // grants that no valid part covers
-    std::uint64_t refunds = 0;         // refunds that were issued
-    std::uint64_t revoked_tasks = 0;   // granted tasks revoked for others, since they did not start
-    std::uint64_t recalls = 0;         // parts that a lessee was asked to give back from
+    std::uint64_t grants_taken = 0;    // lessee grants that were registered
+    std::uint64_t grants_refused = 0;  // lessee grants refused: job over or granted, or no part covers it
+    std::uint64_t refunds = 0;         // refunds issued because a job no longer needs its grant
+    std::uint64_t revoked_tasks = 0;   // granted tasks that did not start and were revoked for waiting jobs
+    std::uint64_t recalls = 0;         // requests to a lessee to return capacity of a part
     std::uint64_t leases_opened = 0, leases_expired = 0, leases_superseded = 0;
     std::uint64_t growths = 0, writes = 0, write_conflicts = 0;
     std::uint64_t bad_records = 0, bad_messages = 0;
-    std::uint64_t launches_refused = 0;  // placements refused because capacity is leased
+    std::uint64_t launches_refused = 0;  // placements refused because the capacity is leased
   };
 
   Lessor(const protocol::Settings& settings, const LeaseOptions& options, LeaderAccounts ledgers);
@@ -81,20 +84,24 @@
   void end();
 
   // ---- lessees ----
-  // What a lessee said, and the answer to it.
+  // Processes a lessee's message and returns the reply, if one is due. `incarnation` identifies the lessee's
+  // process.
   std::optional<LessorMessage> handle_lessee_message(const std::string& member, std::uint64_t incarnation,
                                                      const LesseeMessage& message, double now);
   void count_bad_message() { ++counters_.bad_messages; }
 
   // ---- time ----
   void tick(double now);
-  // Messages that should go out without having been asked for.
+  // Returns and clears the unsolicited messages that are due: new refunds, recalls and parts that became
+  // durable.
   std::vector<std::pair<std::string, LessorMessage>> take_messages();
-  // Writes that are due, within the budget. Each is answered by one of the two below.
+  // Returns the writes that are due, within the write budget. The caller reports the outcome of each with
+  // `written` or `not_written`.
   std::vector<LeaseWrite> take_writes(double now);
   void written(const std::string& key, std::uint64_t mod_revision);
   void not_written(const std::string& key, bool conflict);
-  // A record was found changed: all have to be read again.
+  // Whether all lease records have to be read: after the election, after a failed read, or after a write
+  // conflict.
   bool needs_loading() const { return state_ == LessorState::kLoading && reload_needed_; }
   void loading_started() { reload_needed_ = false; }
   void loading_failed() { reload_needed_ = state_ == LessorState::kLoading; }
@@ -109,10 +116,11 @@
   LessorState state() const { return state_; }
   const LeaseLedger& ledger() const { return ledger_; }
   const Counters& counters() const { return counters_; }
-  // Capacity that leases permit and nothing uses, summed over the teams.
+  // Capacity that leases permit beyond the tasks placed under their grants, summed over the teams.
   Amount exposure() const;
-  // Of it, what is idle while jobs of the same team wait for it.
+  // The part of the exposure for which jobs of the same team are waiting.
   Amount idle_while_claimed() const;
+  // Describes the first inconsistency of the ledger's sums; empty when there is none. For tests.
   std::string audit() const;
 
  private:
@@ -123,8 +131,8 @@
   struct Record {
     std::uint64_t mod_revision = 0;
     bool in_flight = false, unreadable = false;
-    double write_at = 1e300;                       // 1e300: nothing to write
-    std::map<std::string, std::uint64_t> writing;  // revisions that stand in the write in flight
+    double write_at = 1e300;                       // 1e300: no write is due
+    std::map<std::string, std::uint64_t> writing;  // by team: revisions contained in the in-flight write
   };
   void set_state(LessorState state);
   std::uint64_t next_epoch();
@@ -163,15 +171,14 @@
   LessorState state_ = LessorState::kIdle;
   std::uint64_t term_ = 0, epochs_ = 0, lessor_incarnation_ = 0;
   double began_ = 0, now_ = 0, next_reconcile_ = 0;
-  double unreadable_until_ = -1e9;  // until then a record that can't be read may stand for a lease
+  double unreadable_until_ = -1e9;  // until then a malformed record may stand for a valid lease
   bool reload_needed_ = false;
   LeaseLedger ledger_;
   Claims claims_;
-  std::map<std::string, Record> records_;  // by key
+  std::map<std::string, Record> records_;  // by key in the state service
   std::set<std::string> members_to_notify_;
-  std::set<std::string> recalled_teams_;  // teams of which lessees were asked to give back
-  std::set<std::string>
-      teams_over_limit_;  // teams of which more was leased by an earlier leader than the limit now is
+  std::set<std::string> recalled_teams_;    // teams of which capacity is being recalled
+  std::set<std::string> teams_over_limit_;  // leases of an earlier leader may exceed the team's limit
   bookkeeping::TokenBucket write_budget_;
   Counters counters_;
 };
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -1,4 +1,4 @@
-// How the lessor moves capacity between lessees: revocation, recall, growth.
+// Rebalancing of leased capacity: revocation of idle grants, recall of idle capacity, growth of parts.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,8 @@
 
 namespace robinford::quota {
 
-// A job that was granted but does not start (no machine fits it) keeps others of its team from starting.
+// Revokes granted tasks that have not started for `grant_idle_s` while other jobs of the team wait. Otherwise
+// a granted job that fits on no machine would keep them from starting.
 void Lessor::revoke_idle_grants(double now) {
   std::vector<std::pair<protocol::JobId, std::uint32_t>> idle;
   for (const auto& [job, grant] : ledger_.grants())
@@ -21,7 +22,8 @@
   }
 }
 
-// Claims wait for capacity; a limit that was lowered has to be kept again even if nobody waits.
+// Recalls capacity for jobs that wait for it, and for teams whose limit was lowered below what is leased; the
+// latter also when no job waits.
 void Lessor::recall() {
   for (const auto& team : std::exchange(recalled_teams_, {})) cancel_recalls(team);
   for (const auto& [team, claims] : claims_.teams()) {
@@ -45,7 +47,7 @@
       part->second.keep = part->second.size;
 }
 
-// Idle capacity only, from the parts that grew first.
+// Asks lessees to return idle capacity, starting with the part whose last growth is the oldest.
 void Lessor::recall_from_team(const std::string& team, Amount deficit) {
   recalled_teams_.insert(team);
   std::vector<std::pair<double, std::string>> by_age;
@@ -65,19 +67,21 @@
 }
 
 void Lessor::grow(double now) {
-  std::map<std::string, std::set<std::string>> growth_candidates;  // members by team
+  std::map<std::string, std::set<std::string>> growth_candidates;  // members to consider, by team
   for (auto& [member, lease] : ledger_.leases()) {
     if (!lease.synchronized || now < lease.next_growth) continue;
     lease.next_growth = now + options_.rebalance_s;
     for (const auto& [team, part] : lease.parts)
-      if (!part.demand.is_zero() && (part.durable || part.revision == 0)) growth_candidates[team].insert(member);
+      if (!part.demand.is_zero() && (part.durable || part.revision == 0))
+        growth_candidates[team].insert(member);
   }
   for (const auto& [team, members] : growth_candidates) grow_team(team, members, now);
 }
 
 void Lessor::grow_team(const std::string& team, const std::set<std::string>& members, double now) {
   const auto limit = limit_of(team);
-  // While somebody waits for capacity of leases, no lease grows.
+  // No part of the team grows while a job waits for its leased capacity, or while a malformed record may
+  // stand for a lease.
   if (limit.unlimited || !claims_.empty(team) || now < unreadable_until_) return;
   TeamBudget budget;
   budget.guarantee = limit.guarantee;
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -1,4 +1,4 @@
-// The lessor's durable records: one or more slices for each lessee.
+// The lessor's durable records. Each lessee's lease is stored in one or more slices.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 }
 }  // namespace
 
-// All leases on record count as valid for their full time from now: a former leader may have renewed them
-// until it was one no more.
+// Treats every recorded lease as valid for a full lease time from now, because the previous leader may have
+// renewed it until just before it lost leadership.
 void Lessor::loaded(const std::vector<StoredLease>& records, double now) {
   now_ = now;
   lessor_incarnation_ = next_epoch();
@@ -28,7 +28,8 @@
   std::map<std::string, std::vector<LeaseRecord>> by_member;
   for (const auto& stored : records) load_record(stored, by_member);
   for (const auto& [member, slices] : by_member) {
-    // Our own process holds nothing while it leads, and a former process of ours is over.
+    // The leader holds no lease itself, and an earlier process of this member no longer runs: its records are
+    // deleted.
     if (member == settings_.member) {
       write_all_records(member, now + c::kLazyRecordS);
       continue;
@@ -43,7 +44,7 @@
           spdlog::warn("quota lease of {}: team {} is not in the settings", member, part.team);
         ledger_.set_part(member, part.team, part.revision, part.size);
         ledger_.find(member)->parts.at(part.team).durable = true;
-        teams_over_limit_.insert(part.team);  // looked at, and dropped where it is not
+        teams_over_limit_.insert(part.team);  // `recall` removes the teams that are within their limit
       }
     }
   }
@@ -71,18 +72,19 @@
   if (record == nullptr)
     reason = std::get<RecordError>(decoded).reason;
   else if ((record->epoch >> c::kAttemptBits) > term_)
-    reason = "its epoch is of a later term";
+    reason = "its epoch belongs to a later term";
   else if (!stored.key.starts_with(kLeaseRecordPrefix + record->member + "/"))
-    reason = "it names another member than its key";
+    reason = "its member differs from the member in its key";
   else if (stored.key.find_first_not_of("0123456789", stored.key.rfind('/') + 1) != std::string::npos ||
            stored.key.ends_with('/') || stored.key.size() - stored.key.rfind('/') > c::kSliceDigits)
-    reason = "its key has no slice";
+    reason = "its key does not end with a slice number";
   if (reason.empty()) {
     records_[stored.key].mod_revision = stored.mod_revision;
     by_member[record->member].push_back(*record);
     return;
   }
-  // It may stand for a lease of any size: nothing is free until that would be over.
+  // The record may stand for a lease of any size. No task is placed and no part grows until such a lease
+  // would have expired.
   ++counters_.bad_records;
   spdlog::error("malformed record {}: {}", stored.key, reason);
   unreadable_until_ = std::max(unreadable_until_, lease_end(now_));
@@ -92,7 +94,7 @@
   entry.write_at = lease_end(now_);
 }
 
-// The first slice of the member in which one more part fits.
+// Returns the member's first slice with enough space left for the team's part.
 std::uint32_t Lessor::slice_for(const std::string& member, const std::string& team) const {
   const auto& parts = ledger_.leases().at(member).parts;
   std::map<std::uint32_t, std::size_t> bytes;
@@ -139,7 +141,8 @@
     if (!write_budget_.covers(1)) break;
     record.write_at = kNever;
     auto value = record_value(key, record);
-    if (!value && record.mod_revision == 0) continue;  // there is nothing to delete
+    if (!value && record.mod_revision == 0)
+      continue;  // the key does not exist, so there is no record to delete
     record.in_flight = true;
     write_budget_.take(1);
     ++counters_.writes;
@@ -166,8 +169,8 @@
   }
 }
 
-// Whether it was carried out is open after a conflict: what is on record is read again, and until then
-// nothing is placed.
+// After a conflict it is unknown what the record contains: all records are read again, and no task is placed
+// until then. Other failed writes are retried after `kLazyRecordS`.
 void Lessor::not_written(const std::string& key, bool conflict) {
   const auto found = records_.find(key);
   if (state_ != LessorState::kServing || found == records_.end()) return;
@@ -177,7 +180,7 @@
     return;
   }
   ++counters_.write_conflicts;
-  spdlog::warn("quota leases: record {} was changed by another writer", key);
+  spdlog::warn("quota leases: record {} was changed by another writer; reading all lease records again", key);
   reload_needed_ = true;
   set_state(LessorState::kLoading);
 }
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -20,7 +20,7 @@
   put_varint(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, amount.gpus)));
 }
 
-// Reads fields off the front; after the first bad field nothing is good any more.
+// Reads fields from the front. After the first malformed field, every later read fails too.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -51,13 +51,14 @@
     rest_.remove_prefix(size);
     return result;
   }
-  // Entries of a list: each takes a byte at least, so the rest bounds their number.
+  // Number of list entries. Each entry takes at least one byte, so a count above the remaining bytes is
+  // malformed.
   std::uint64_t count() {
     const auto value = number();
     good_ = good_ && value <= rest_.size();
     return good_ ? value : 0;
   }
-  // The tag is a plain byte.
+  // The tag is a single byte, not a varint.
   void tag(char expected) {
     good_ = good_ && !rest_.empty() && rest_.front() == expected;
     if (good_) rest_.remove_prefix(1);
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -1,9 +1,10 @@
-// What lessees (controllers that grant from a lease) and the lessor (the leader, which hands leases out) say
-// to each other, as the body of a peer frame.
+// Messages between lessees (controllers that admit jobs against a lease) and the lessor (the leader, which
+// grants leases), carried as the body of a peer frame.
 //
-// A *lessor incarnation* begins whenever a lessor reads the records of leases. Grants are numbered by the
-// lessee and refunds by the lessor, both from 1 within the lessor incarnation; each side repeats what the
-// other one has not acknowledged, so each takes effect once and in order.
+// A *lessor incarnation* begins whenever a lessor has loaded the lease records. The lessee numbers its grants
+// and the lessor its refunds, both from 1 within a lessor incarnation. Each side resends what the other has
+// not acknowledged and ignores numbers out of sequence, so each grant and refund takes effect once and in
+// order.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace robinford::quota {
 
-// A promise that so many tasks of a job may run at once.
+// A promise that `tasks` tasks of a job may run at the same time.
 struct NewGrant {
   std::uint64_t number = 0;
   protocol::JobId job = 0;
@@ -27,7 +28,7 @@
   bool operator==(const NewGrant&) const = default;
 };
 
-// So many tasks of a grant are not promised any more.
+// Withdraws `tasks` tasks of the job's grant.
 struct Refund {
   std::uint64_t number = 0;
   protocol::JobId job = 0;
@@ -35,16 +36,17 @@
   bool operator==(const Refund&) const = default;
 };
 
-// The part of a team's limit that the lessee holds, by the last revision that it took.
+// The part of a team's limit that the lessee holds, with the last revision that it applied.
 struct HeldPart {
   std::string team;
   std::uint64_t revision = 0;
   Amount size;
-  Amount demand;  // asked of the lessee lately, granted or not
+  Amount demand;  // recently requested from the lessee, whether granted or not
   bool operator==(const HeldPart&) const = default;
 };
 
-// The part that the lessor lets the lessee hold. `keep` below `size` asks for the rest, as far as it is idle.
+// The part that the lessor leases to the lessee. `keep` below `size` recalls the difference, as far as it is
+// idle.
 struct OfferedPart {
   std::string team;
   std::uint64_t revision = 0;
@@ -54,22 +56,22 @@
 };
 
 struct LesseeMessage {
-  std::uint64_t lessor_incarnation = 0;  // that the numbers belong to; 0: none yet
-  std::uint64_t epoch = 0;               // of the lease that it holds; 0: none
-  std::uint64_t probe = 0;               // moment of sending, for the lessor to echo; 0: asks for nothing
+  std::uint64_t lessor_incarnation = 0;  // to which the numbers of grants and refunds belong; 0: none yet
+  std::uint64_t epoch = 0;               // of the lease held; 0: none
+  std::uint64_t probe = 0;  // time of sending in ms, echoed by the lessor; 0: no renewal requested
   std::uint64_t refunds_taken = 0;
-  bool with_parts = false;  // `parts` are all that it holds or asks for
+  bool with_parts = false;  // `parts` lists all parts that the lessee holds or requests
   std::vector<NewGrant> grants;
   std::vector<HeldPart> parts;
   bool operator==(const LesseeMessage&) const = default;
 };
 
 struct LessorMessage {
-  std::uint64_t incarnation = 0;  // of the lessee that is meant
-  std::uint64_t lessor_incarnation =
-      0;  // lessor incarnations are numbered like epochs: later ones have larger numbers
+  std::uint64_t incarnation = 0;  // of the lessee process addressed
+  // Numbered like epochs: a later lessor incarnation has a larger number.
+  std::uint64_t lessor_incarnation = 0;
   std::uint64_t epoch = 0;
-  std::uint64_t probe = 0;  // echo: renews the lease from that moment; 0: renews nothing
+  std::uint64_t probe = 0;  // echoed: renews the lease as of that time of sending; 0: no renewal
   std::uint64_t grants_taken = 0;
   std::vector<Refund> refunds;
   std::vector<OfferedPart> parts;
@@ -78,10 +80,11 @@
 
 std::string encode(const LesseeMessage& message);
 std::string encode(const LessorMessage& message);
-// Nothing for bytes that make no sense: cut short, too long, of another kind, or amounts out of range.
+// Return nothing for malformed bytes: truncated, with trailing bytes, of the other kind, or values out of
+// range.
 std::optional<LesseeMessage> decode_lessee(std::string_view bytes);
 std::optional<LessorMessage> decode_lessor(std::string_view bytes);
-// Which of the two the bytes claim to be.
+// Whether the bytes carry the tag of a lessor message; the rest is not checked.
 bool is_lessor_message(std::string_view bytes);
 
 }  // namespace robinford::quota
