--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -24,7 +24,7 @@
   if (options_.enabled) context_.quota.set_guard(&lessor_);
 }
 
-quota::Lessor::Ledgers QuotaLeases::ledgers(ControllerContext& context) {
+quota::Lessor::LeaderAccounts QuotaLeases::ledgers(ControllerContext& context) {
   const auto job = [&context](protocol::JobId id) {
     quota::JobView view;
     if (const auto* known = context.jobs.find(id)) {
@@ -109,12 +109,12 @@
                                     const std::string& body) {
   const auto message = quota::decode_lessee(body);
   if (!message) {
-    lessor_.bad_message();
+    lessor_.count_bad_message();
     return false;
   }
   // A leader that was paused until its own lease expired must not renew quota leases.
   if (!election_.valid()) return true;
-  if (const auto reply = lessor_.take(member, incarnation, *message, context_.now.steady))
+  if (const auto reply = lessor_.handle_lessee_message(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
   return true;
 }
@@ -122,11 +122,11 @@
 bool QuotaLeases::on_lessor_message(const std::string& member, const std::string& body) {
   const auto message = quota::decode_lessor(body);
   if (!message) {
-    lessor_.bad_message();
+    lessor_.count_bad_message();
     return false;
   }
   if (election_.role() == Role::kLeading) return true;
-  if (lessee_.take(*message, context_.now.steady)) renew(member);
+  if (lessee_.handle_lessor_message(*message, context_.now.steady)) renew(member);
   return true;
 }
 
@@ -137,7 +137,7 @@
 // ---------------------------------------------------------------- records
 
 void QuotaLeases::load() {
-  lessor_.loading_begins();
+  lessor_.loading_started();
   ++generation_;
   loading_.clear();
   load_page("");
@@ -165,7 +165,7 @@
 void QuotaLeases::write(quota::LeaseWrite due) {
   const std::string key = due.key;
   context_.writer.submit(
-      {WriteOp{key, due.expect, std::move(due.value)}},
+      {WriteOp{key, due.expected_mod_revision, std::move(due.value)}},
       [this, key, generation = generation_](WriteOutcome outcome, std::uint64_t mod_revision) {
         if (generation != generation_) return;
         if (outcome == WriteOutcome::kDone)
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -39,7 +39,7 @@
   std::string audit() const;
 
  private:
-  static quota::Lessor::Ledgers ledgers(ControllerContext& context);
+  static quota::Lessor::LeaderAccounts ledgers(ControllerContext& context);
   bool leader_serves_leases(const std::string& leader) const;
   void renew(const std::string& leader);
   void load();
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -7,7 +7,7 @@
 namespace {
 std::string wrong_sum(const char* what, const std::string& member, const std::string& team) {
   std::string text(what);
-  return text.append(" of ").append(member).append(", team ").append(team);
+  return text.append(": mismatch in the part of ").append(member).append(", team ").append(team);
 }
 }  // namespace
 
@@ -53,9 +53,10 @@
   part.revision = revision;
 }
 
-void LeaseLedger::lower_part(const std::string& member, const std::string& team, const Amount& size) {
+void LeaseLedger::shrink_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
-  // What is promised stays, whatever the lessee says: its grants may have been told before.
+  // The part never shrinks below the grants registered from it, whatever size the lessee reports: those
+  // grants may have arrived before the report.
   const Amount lower = larger(part.promised, smaller(part.size, size));
   change_exposure(team, lower - part.size);
   part.size = lower;
@@ -94,16 +95,16 @@
   if (grant.tasks == 0) grants_.erase(found);
 }
 
-void LeaseLedger::refuse(const std::string& member, const NewGrant& new_grant) {
+void LeaseLedger::queue_refusal(const std::string& member, const NewGrant& new_grant) {
   auto& lease = leases_.at(member);
   lease.refunds.push_back({++lease.refunds_made, new_grant.job, new_grant.tasks});
 }
 
-void LeaseLedger::acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken) {
+void LeaseLedger::drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken) {
   while (!lease.refunds.empty() && lease.refunds.front().number <= refunds_taken) lease.refunds.pop_front();
 }
 
-void LeaseLedger::running_changed(protocol::JobId job, std::int64_t by, double now) {
+void LeaseLedger::change_running_tasks(protocol::JobId job, std::int64_t by, double now) {
   const auto found = grants_.find(job);
   if (found == grants_.end()) return;
   auto& grant = found->second;
@@ -113,7 +114,7 @@
   set_covered(grant, before);
 }
 
-void LeaseLedger::seen_live(protocol::JobId job) {
+void LeaseLedger::mark_job_live(protocol::JobId job) {
   const auto found = grants_.find(job);
   if (found != grants_.end()) found->second.job_was_live = true;
 }
@@ -156,11 +157,13 @@
       const auto& [promised, covered] = sums[{member, team}];
       if (!(promised == part.promised) || !(covered == part.covered))
         return wrong_sum("grants", member, team);
-      if (!covers(part.size, part.promised)) return wrong_sum("promises beyond the part", member, team);
+      if (!covers(part.size, part.promised))
+        return wrong_sum("promised capacity exceeds the size", member, team);
       exposure[team] += part.size - part.covered;
     }
   for (const auto& [team, amount] : exposure_)
-    if (!(exposure[team] == amount)) return "team " + team + ": exposure does not add up";
+    if (!(exposure[team] == amount))
+      return "team " + team + ": exposure does not match the sum of its leases";
   return {};
 }
 
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -1,5 +1,5 @@
-// The lessor's lessees, time and launches; recall and growth are in lessor_balance.cpp, records in
-// lessor_records.cpp.
+// The lessor's message handling, periodic work and placement check. Recall and growth of parts are in
+// lessor_balance.cpp, durable records in lessor_records.cpp.
 #include "quota/lessor.hpp"
 
 #include <spdlog/spdlog.h>
@@ -25,10 +25,10 @@
   return "?";
 }
 
-Lessor::Lessor(const protocol::Settings& settings, const LeaseOptions& options, Ledgers ledgers)
+Lessor::Lessor(const protocol::Settings& settings, const LeaseOptions& options, LeaderAccounts ledgers)
     : settings_(settings),
       options_(options),
-      ledgers_(std::move(ledgers)),
+      leader_accounts_(std::move(ledgers)),
       write_budget_(settings.state_write_rps * options.write_share,
                     std::max(1.0, settings.state_write_rps * options.write_share)) {}
 
@@ -48,10 +48,10 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_notify_.clear();
-  recalled_.clear();
-  beyond_limit_.clear();
-  reload_ = true;
+  members_to_notify_.clear();
+  recalled_teams_.clear();
+  teams_over_limit_.clear();
+  reload_needed_ = true;
   set_state(LessorState::kLoading);
 }
 
@@ -60,20 +60,21 @@
   ledger_.clear();
   claims_.clear();
   records_.clear();
-  to_notify_.clear();
-  reload_ = false;
+  members_to_notify_.clear();
+  reload_needed_ = false;
 }
 
 std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptCounterBits) | ++epochs_; }
 
-// No lessee that was answered by now takes its lease for valid after this, whatever the two clocks drift.
+// The moment after which no lessee that received its last reply by `now` still considers its lease valid,
+// within the allowed drift of both clocks.
 double Lessor::lease_end(double now) const {
   return now + options_.ttl_s * (1 + c::kClockDrift) + c::kLeaseMarginS;
 }
 
 Lessor::TeamLimit Lessor::limit_of(const std::string& team) const {
   const auto* known = settings_.team(team);
-  if (known == nullptr) return {};  // removed from the settings: nothing of it may be leased
+  if (known == nullptr) return {};  // not in the settings: no capacity may be leased
   TeamLimit limit;
   limit.unlimited = known->cpus_max >= c::kAmountMax;
   limit.guarantee = rounded_down(known->cpus, known->gpus);
@@ -82,7 +83,7 @@
 }
 
 Amount Lessor::available(const std::string& team) const {
-  return limit_of(team).limit - ledgers_.used(team) - ledger_.exposure(team);
+  return limit_of(team).limit - leader_accounts_.used(team) - ledger_.exposure(team);
 }
 
 // ---------------------------------------------------------------- lessees
@@ -100,20 +101,22 @@
   write_all_records(member, now + c::kLazyRecordWriteS);
 }
 
-// The process that held the lease is over, or has a later one by now: it can't grant from it any more. A
-// lower epoch proves nothing, since it may be a late copy; who gave a lease up does not renew it.
-bool Lessor::superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch) {
+// Whether the lessee can no longer grant from this lease, because its process was restarted or it holds a
+// later lease. A lower epoch does not show that: the message may be a delayed duplicate. Such a message does
+// not renew the lease either.
+bool Lessor::is_superseded(const LeaseEntry& lease, std::uint64_t incarnation, std::uint64_t epoch) {
   return incarnation != lease.incarnation || epoch > lease.epoch;
 }
 
-std::optional<LessorMessage> Lessor::take(const std::string& member, std::uint64_t incarnation,
-                                          const LesseeMessage& message, double now) {
+std::optional<LessorMessage> Lessor::handle_lessee_message(const std::string& member,
+                                                           std::uint64_t incarnation,
+                                                           const LesseeMessage& message, double now) {
   now_ = now;
   if (state_ != LessorState::kServing) return std::nullopt;
   auto* lease = ledger_.find(member);
-  // A late word of a former process.
+  // A delayed message from an earlier process of the same member.
   if (lease != nullptr && incarnation < lease->incarnation) return std::nullopt;
-  if (lease != nullptr && superseded(*lease, incarnation, message.epoch)) {
+  if (lease != nullptr && is_superseded(*lease, incarnation, message.epoch)) {
     ++counters_.leases_superseded;
     close_lease(member, "its holder has ended", now);
     lease = nullptr;
@@ -121,13 +124,13 @@
   if (lease == nullptr) lease = &open_lease(member, incarnation, now);
   const bool same_incarnation =
       message.epoch == lease->epoch && message.lessor_incarnation == lessor_incarnation_;
-  // A late copy: it must not begin the lessor incarnation anew, or what either side says in it is not
-  // understood any more.
+  // A duplicate or reordered message. It must not reset the numbering of grants and refunds below: the two
+  // sides would then number them differently and ignore each other's.
   if (message.probe != 0 && message.probe <= lease->last_probe) return std::nullopt;
   if (!same_incarnation) {
     if (message.probe == 0) return std::nullopt;
-    // It learns lease and lessor incarnation from the answer, and then tells its grants anew. Nothing is
-    // renewed before.
+    // The lessee learns the epoch and the lessor incarnation from this reply and then resends its grants
+    // under new numbers. The lease is not renewed until then.
     lease->last_probe = message.probe;
     lease->synchronized = false;
     lease->grants_taken = lease->refunds_made = 0;
@@ -135,38 +138,39 @@
     return message_to(member, 0);
   }
   lease->synchronized = true;
-  ledger_.acknowledged(*lease, message.refunds_taken);
-  take_grants(member, *lease, message, now);
-  if (message.with_parts) take_parts(member, *lease, message, now);
+  ledger_.drop_acknowledged_refunds(*lease, message.refunds_taken);
+  register_grants(member, *lease, message, now);
+  if (message.with_parts) update_parts(member, *lease, message, now);
   if (message.probe == 0) return std::nullopt;
   lease->last_probe = message.probe;
   lease->ends_at = lease_end(now);
-  to_notify_.erase(member);
+  members_to_notify_.erase(member);
   return message_to(member, message.probe);
 }
 
-void Lessor::take_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
-                         double now) {
-  // A lessee that takes none of its refunds gets no further grants.
+void Lessor::register_grants(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
+                             double now) {
+  // Refused grants queue refunds, so a lessee that never acknowledges refunds would grow this queue without
+  // bound. No further grants are registered while it is full.
   if (lease.refunds.size() >= c::kGrantsMax) return;
   for (const auto& new_grant : message.grants) {
-    if (new_grant.number != lease.grants_taken + 1) continue;  // known already, or one before it got lost
+    if (new_grant.number != lease.grants_taken + 1) continue;  // a duplicate, or an earlier grant is missing
     ++lease.grants_taken;
-    const auto view = ledgers_.job(new_grant.job);
+    const auto view = leader_accounts_.job(new_grant.job);
     const bool over = view.state == JobView::State::kOver;
     if (over || !ledger_.add_grant(member, new_grant, view.placed, now)) {
       ++counters_.grants_refused;
-      ledger_.refuse(member, new_grant);
-      to_notify_.insert(member);
+      ledger_.queue_refusal(member, new_grant);
+      members_to_notify_.insert(member);
       continue;
     }
     ++counters_.grants_taken;
-    claims_.settled(new_grant.team, new_grant.job);
+    claims_.drop_claim(new_grant.team, new_grant.job);
   }
 }
 
-void Lessor::take_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
-                        double now) {
+void Lessor::update_parts(const std::string& member, LeaseEntry& lease, const LesseeMessage& message,
+                          double now) {
   for (const auto& held : message.parts) {
     const auto found = lease.parts.find(held.team);
     if (found == lease.parts.end()) {
@@ -178,9 +182,9 @@
     }
     auto& part = found->second;
     part.demand = held.demand;
-    // Under another revision it speaks of a size that the part does not have any more, or not yet.
+    // With another revision, the reported size belongs to an earlier or later state of the part.
     if (held.revision != part.revision || !part.durable || held.size == part.size) continue;
-    ledger_.lower_part(member, held.team, held.size);
+    ledger_.shrink_part(member, held.team, held.size);
     write_record(member, part.slice, now + c::kLazyRecordWriteS);
   }
 }
@@ -205,11 +209,11 @@
 
 std::vector<std::pair<std::string, LessorMessage>> Lessor::take_messages() {
   std::vector<std::pair<std::string, LessorMessage>> messages;
-  for (const auto& member : to_notify_) {
+  for (const auto& member : members_to_notify_) {
     const auto* lease = ledger_.find(member);
     if (lease != nullptr && lease->synchronized) messages.emplace_back(member, message_to(member, 0));
   }
-  to_notify_.clear();
+  members_to_notify_.clear();
   return messages;
 }
 
@@ -220,9 +224,9 @@
   if (state_ != LessorState::kServing) return;
   write_budget_.refill(now);
   expire_leases(now);
-  if (now >= next_settle_) {
-    next_settle_ = now + c::kSettleGrantsIntervalS;
-    settle_grants(now);
+  if (now >= next_reconcile_) {
+    next_reconcile_ = now + c::kSettleGrantsIntervalS;
+    reconcile_grants(now);
     claims_.drop_stale(now);
     revoke_idle_grants(now);
     recall();
@@ -240,35 +244,35 @@
   }
 }
 
-void Lessor::settle_grants(double now) {
+void Lessor::reconcile_grants(double now) {
   std::vector<protocol::JobId> jobs;
   for (const auto& [job, grant] : ledger_.grants()) jobs.push_back(job);
-  for (const auto job : jobs) settle_grant(job, now);
+  for (const auto job : jobs) reconcile_grant(job, now);
 }
 
-// Refunds what the job can't use any more. Tasks that are placed stay granted until they are off their
-// machines: their capacity is not free before.
-void Lessor::settle_grant(protocol::JobId job, double now) {
-  const auto view = ledgers_.job(job);
+// Refunds the tasks of a grant that the job no longer needs. Placed tasks stay granted until they have left
+// their machines, because their capacity is in use until then.
+void Lessor::reconcile_grant(protocol::JobId job, double now) {
+  const auto view = leader_accounts_.job(job);
   const auto& grant = *ledger_.grant(job);
   std::uint32_t needed = 0;
   switch (view.state) {
     case JobView::State::kLive:
-      ledger_.seen_live(job);
+      ledger_.mark_job_live(job);
       needed = std::max(view.remaining, grant.running);
       break;
     case JobView::State::kOver:
       needed = grant.running;
       break;
     case JobView::State::kUnknown:
-      // Its submission may still be on its way.
+      // The job's submission may arrive after the grant.
       if (!grant.job_was_live && now - grant.changed_at < c::kOrphanGrantS) return;
       needed = grant.running;
       break;
   }
   if (needed >= grant.tasks) return;
   ++counters_.refunds;
-  to_notify_.insert(grant.member);
+  members_to_notify_.insert(grant.member);
   ledger_.refund(job, grant.tasks - needed);
 }
 
@@ -286,34 +290,35 @@
   };
   const Amount used{nearest(used_cpus), nearest(used_gpus)};
   if (!covers(limit.limit - used, need)) return false;
-  // What the job was granted stands in the exposure already.
+  // Capacity granted to this job is already part of the exposure.
   const auto* grant = ledger_.grant(spec.id);
   Amount granted;
   if (grant != nullptr) granted = grant->each * std::min(tasks, grant->tasks - grant->covered());
-  const Amount rest = positive(need - granted);
-  if (rest.is_zero()) return true;
-  const Amount kept{nearest(kept_cpus), 0};
+  const Amount ungranted = positive(need - granted);
+  if (ungranted.is_zero()) return true;
+  const Amount promised_elsewhere{nearest(kept_cpus), 0};
   const Amount reserved = claims_.reserved_before(spec.team, spec.id);
-  const Amount open = limit.limit - used - ledger_.exposure(spec.team);
-  if (covers(open - larger(kept, reserved), rest)) {
-    claims_.settled(spec.team, spec.id);
+  const Amount unleased = limit.limit - used - ledger_.exposure(spec.team);
+  if (covers(unleased - larger(promised_elsewhere, reserved), ungranted)) {
+    claims_.drop_claim(spec.team, spec.id);
     return true;
   }
-  // Only what would fit without the leases waits for them.
-  if (!covers(open - kept, rest)) {
+  // The job fits into the limit apart from leased capacity (checked above). It claims leased capacity, unless
+  // only the reservation for another gang holds it back.
+  if (!covers(unleased - promised_elsewhere, ungranted)) {
     ++counters_.launches_refused;
     const Amount all = each * (spec.gang ? tasks : spec.tasks);
-    claims_.note(spec.team, spec.id, smaller(all, limit.limit - used), spec.gang, now_);
+    claims_.record_claim(spec.team, spec.id, smaller(all, limit.limit - used), spec.gang, now_);
   }
   return false;
 }
 
 void Lessor::charged(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.running_changed(spec.id, tasks, now_);
+  ledger_.change_running_tasks(spec.id, tasks, now_);
 }
 
 void Lessor::refunded(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.running_changed(spec.id, -static_cast<std::int64_t>(tasks), now_);
+  ledger_.change_running_tasks(spec.id, -static_cast<std::int64_t>(tasks), now_);
 }
 
 Amount Lessor::exposure() const {
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -20,11 +20,11 @@
   put_varint(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, amount.gpus)));
 }
 
-// Reads fields off the front; after the first bad field nothing is good any more.
+// Reads fields from the front. After the first malformed field, every later read fails too.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
-  bool finished_well() const { return good_ && rest_.empty(); }
+  bool consumed_all_bytes() const { return good_ && rest_.empty(); }
   bool good() const { return good_; }
 
   std::uint64_t number() {
@@ -51,13 +51,14 @@
     rest_.remove_prefix(size);
     return result;
   }
-  // Entries of a list: each takes a byte at least, so the rest bounds their number.
+  // Number of list entries. Each entry takes at least one byte, so a count above the remaining bytes is
+  // malformed.
   std::uint64_t count() {
     const auto value = number();
     good_ = good_ && value <= rest_.size();
     return good_ ? value : 0;
   }
-  // The tag is a plain byte.
+  // The tag is a single byte, not a varint.
   void tag(char expected) {
     good_ = good_ && !rest_.empty() && rest_.front() == expected;
     if (good_) rest_.remove_prefix(1);
@@ -141,7 +142,7 @@
     part.demand = in.amount();
     message.parts.push_back(std::move(part));
   }
-  if (!in.finished_well() || with_parts > 1) return std::nullopt;
+  if (!in.consumed_all_bytes() || with_parts > 1) return std::nullopt;
   return message;
 }
 
@@ -169,7 +170,7 @@
     part.keep = in.amount();
     message.parts.push_back(std::move(part));
   }
-  if (!in.finished_well()) return std::nullopt;
+  if (!in.consumed_all_bytes()) return std::nullopt;
   return message;
 }
 
