--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -21,19 +21,21 @@
 inline constexpr double kLeaderLeaseMarginS = 0.3;
 /// Time after its last renewal at which a degraded leader stops answering heartbeats at the latest.
 inline constexpr double kDegradedAnswerMaxS = 90.0;
-/// Time reserved between a lease and a cancellation for an announcement in flight, for ticks and for a
-/// worker's own steps.
+/// Part of the difference between the time allowed for a cancellation and the length of a worker's lease that
+/// is reserved for an announcement in flight, for ticks and for a worker's own steps.
 inline constexpr double kCancellationMarginS = 1.5;
-/// Minimum time between a lease and a cancellation for which the in-memory state may answer for all
-/// controllers. It lags by about 2 s; below this bound the strict mode applies.
+/// Minimum of the rest of that difference at which all controllers may announce cancellations while the
+/// leader answers heartbeats from its in-memory state, which lags by about 2 s. Below this bound the strict
+/// mode applies, in which only the leader announces them.
 inline constexpr double kDegradedAnswerMinS = 6.0;
 /// Time after its last renewal for which a degraded leader answers heartbeats in strict mode.
 /// Cancellations wait for it, so it is well below 75 s.
 inline constexpr double kStrictAnswerMaxS = 45.0;
 /// Time after a member's answered probe for which the leader's in-memory state may speak for that member:
-/// two heartbeats and a delay.
+/// two status messages and a delay.
 inline constexpr double kInMemoryStateFreshS = 2.0;
-/// Time between two reads of the change log of the other controllers.
+/// Minimum time between two regular reads of the change log of the other controllers. Requested reads may
+/// follow earlier, as may all reads until the leader knows all announced cancellations.
 inline constexpr double kChangeLogReadIntervalS = 1.0;
 /// Calls that the state service must allow for each read of the change log. With a low rate limit the log
 /// is read less often.
@@ -42,8 +44,9 @@
 inline constexpr std::size_t kAnnouncedCancellationsMax = 4096;
 /// Announced cancellations in one message.
 inline constexpr std::size_t kAnnouncedPerMessageMax = 400;
-/// Share of the time allowed for a cancellation after which a machine is returned unless it has shown
-/// that the work is gone.
+/// Share of the time allowed for a cancellation after which a machine is returned unless it has shown that
+/// the work is gone. The time is extended to the length of a lease and limited by kCancelReturnLeadS, but is
+/// at least half of this share.
 inline constexpr double kCancelPatienceShare = 0.5;
 /// Time before the end of a cancellation at which such a machine is returned at the latest, so that the
 /// cloud can confirm the return.
@@ -52,7 +55,8 @@
 inline constexpr double kNewLeaderCancelReturnLeadS = 5.0;
 /// Upper bound on the random delay before a campaign. The delay makes collisions between candidates rare.
 inline constexpr double kCampaignJitterS = 0.12;
-/// Delay after a failed campaign or a failed read of the leader key.
+/// Delay after a campaign that failed for another reason than losing to another candidate and after a failed
+/// watch of the leader key, and time between two reads of the key while they fail.
 inline constexpr double kCampaignRetryS = 0.4;
 /// Time for which the state service holds a watch open.
 inline constexpr double kWatchWaitS = 10.0;
--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -22,14 +22,15 @@
 inline constexpr std::size_t kMachineListPageItems = 500;
 /// Timeout of a call to the cloud.
 inline constexpr double kCloudCallTimeoutS = 4.0;
-/// Factor on the nominal boot time after which a machine that is not up is returned.
+/// Factor on the nominal boot time after which a machine that is not up is returned. It also limits the time
+/// after which a boot is late.
 inline constexpr double kBootTimeoutFactor = 2.5;
 /// Time added to that boot timeout.
 inline constexpr double kBootTimeoutSlackS = 5.0;
 /// Assumed boot time of a machine whose type is not in the catalog.
 inline constexpr double kDefaultBootS = 60;
-/// Usual boot time as a multiple of the nominal one, according to the protocol. It applies until enough
-/// boots were observed.
+/// Usual boot time as a multiple of the nominal one, according to the protocol. A boot that takes longer is
+/// late; this applies until kBootSamplesMin boots of the type were observed.
 inline constexpr double kDefaultUsualBootFactor = 1.5;
 /// Boot times kept per machine type.
 inline constexpr std::size_t kBootSamplesMax = 32;
@@ -37,13 +38,16 @@
 inline constexpr std::size_t kBootSamplesMin = 8;
 /// Quantile of the observed boot times that counts as the usual boot time.
 inline constexpr double kBootQuantile = 0.9;
-/// Factor on the usual or the nominal boot time above which a boot is late.
+/// Factor on the usual boot time, as observed, above which a boot is late. Boots that take less than this
+/// multiple of the nominal boot time are never late.
 inline constexpr double kLateBootFactor = 1.15;
-/// Time for which a type and zone without capacity is not requested again.
+/// Time for which no machines of a type, zone and price kind are requested again after the cloud had no or
+/// too few of them, or rejected the request as malformed.
 inline constexpr double kNoCapacityBackoffS = 20.0;
 /// Machines in one provisioning request (the cloud's limit).
 inline constexpr int kProvisionRequestMachinesMax = 50;
-/// Provisioning requests that one type, zone and price kind (spot or not) may have outstanding.
+/// Provisioning requests that one type, zone and price kind (spot or not) may have outstanding. No further
+/// ones are made until all of them are answered.
 inline constexpr int kProvisionRequestsInFlightMax = 4;
 /// Unreconciled machines up to which the unresponsive ones among them are returned early, because they
 /// hold up the work of earlier leaders.
@@ -52,22 +56,27 @@
 inline constexpr double kFewUnreconciledShare = 0.02;
 /// Machines in one return request (the cloud's limit).
 inline constexpr std::size_t kReturnRequestMachinesMax = 100;
-/// Time after which an idle machine is returned when no arriving work is expected to need it.
+/// Time after which an idle surplus machine is returned, unless the policy sets another, if no arriving work
+/// is expected to need it or its type is not in the catalog.
 inline constexpr double kIdleReturnS = 3.0;
-/// List lags after which a booting machine that appears in no list is forgotten.
+/// List lags after which a machine that only records of earlier leaders name, and no list or heartbeat, is
+/// forgotten, once it is certain that it holds no work.
 inline constexpr double kForgetListLags = 6.0;
-/// Boot times for which an idle machine is kept while work still arrives.
+/// Boot times for which an idle surplus machine is kept, unless the policy sets another time, while work that
+/// could use it still arrives.
 inline constexpr double kIdleReturnBoots = 0.5;
 /// Time window of gang arrivals from which the number of spare machines is computed.
 inline constexpr double kGangArrivalWindowS = 120.0;
-/// Assumed run time of a task of a class without an estimate or a completion.
+/// Assumed run time of a task without an estimate, while its class has fewer than kLearnCompletionsMin
+/// completions.
 inline constexpr double kDefaultRunS = 60.0;
 /// Minimum weight of a completion in the run-time statistics of its class.
 inline constexpr double kLearnWeightMin = 0.03;
 /// Completions before the observed run time of a job or class is used. The same number of estimates is
 /// needed before a class's estimates are used.
 inline constexpr int kLearnCompletionsMin = 3;
-/// Weight of a job's own estimate against its class's estimates while nothing of the class has completed.
+/// Weight of a job's own estimate against its class's estimates while the class has fewer than
+/// kLearnCompletionsMin completions.
 inline constexpr double kEstimateWeight = 0.5;
 /// Completions of one job that count in the statistics of its class, so that a large array does not
 /// dominate them.
@@ -76,32 +85,36 @@
 inline constexpr double kLearnRatioMin = 0.2;
 /// Upper bound of the learned ratio of real to estimated run time.
 inline constexpr double kLearnRatioMax = 5.0;
-/// Machines without heartbeats needed for a zone outage.
+/// Machines without recent heartbeats, or that a new leader's probes do not reach, needed for a zone to count
+/// as unresponsive. They must also outnumber the other machines of the zone.
 inline constexpr int kZoneOutageMachinesMin = 3;
-/// Time for which a zone outage lasts after its last sign: a few boot times.
+/// Time for which a zone counts as unresponsive after the last review of the fleet that confirmed it, unless
+/// the zone responds earlier: a few boot times.
 inline constexpr double kZoneOutageS = 60.0;
 /// Time between two debug lines with the figures of the fleet plan.
 inline constexpr double kFleetLogIntervalS = 10.0;
 /// Time between two reviews of the fleet, and minimum time between two return requests.
 inline constexpr double kFleetReviewIntervalS = 0.5;
-/// Time constant with which the computed need for cores decays.
+/// Time constant with which the need for array cores decays to a lower computed value.
 inline constexpr double kNeedDecayS = 15;
-/// Remaining cores of a decayed need that are treated as none, since they would keep the last machine
-/// forever.
+/// Cores by which the decaying need may exceed the computed one before the excess is dropped. The need never
+/// quite reaches the computed value, and the remainder would keep the last machine forever.
 inline constexpr double kNeedNegligibleCores = 2;
-/// Ratio to the price per core of the offered capacity above which capacity is replaced. Spot prices vary
-/// by a third.
+/// Limit on a machine's price per core, as a multiple of that of the machines that would be provisioned for
+/// arrays now. Machines above it without a gang do not count as array capacity, so that cheaper ones are
+/// provisioned before they are drained. Spot prices vary by a third, so smaller differences are tolerated.
 inline constexpr double kOverpricedRatio = 1.3;
 /// Boot times of backlog that a newly provisioned machine must be able to work on.
 inline constexpr double kProvisionWorthBoots = 1;
-/// Run times before the end of an array at which its last tasks should be started.
+/// Run times before an array's due time by which its last tasks should be started, for tasks that have no
+/// capacity yet.
 inline constexpr double kLastTasksRuns = 0.5;
 /// Boot times of allowed time up to which the capacity that an array uses counts in full towards the
 /// need. A replacement would not be up in time.
 inline constexpr double kTightBoots = 2;
 /// Run times over which the work of a late array is spread.
 inline constexpr double kLateWindowRuns = 3;
-/// Retry delay for an unanswered provisioning request, which is repeated under the same name.
+/// Retry delay for a provisioning request whose outcome is unknown, which is repeated under the same name.
 inline constexpr double kProvisionRetryS = 1.0;
 /// Time for which the name of a returned machine is kept, so that late messages do not revive it.
 inline constexpr double kGoneMachineKeptS = 900;
--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -43,8 +43,8 @@
 inline constexpr std::int64_t kLeaseGrowthDivisor = 8;
 /// Time between two reviews of grants, claims and recalls.
 inline constexpr double kSettleGrantsIntervalS = 0.25;
-/// Time for which a grant without a known job is kept. Users wait 5 s for the answer to a submission, and
-/// forwarded requests take less.
+/// Time for which a grant is kept whose job has not become known yet. Users wait 5 s for the answer to a
+/// submission, and forwarded requests take less.
 inline constexpr double kOrphanGrantS = 8.0;
 /// Time after which a claim that was not repeated is dropped.
 inline constexpr double kClaimStaleS = 2.0;
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -25,8 +25,8 @@
 inline constexpr double kDirectCallTimeoutS = 2.0;
 /// Minimum time between two writes of the completed tasks of an array to its durable record.
 inline constexpr double kProgressWriteIntervalS = 10.0;
-/// Low-priority writes (progress of arrays, deletion of change log entries) start only while fewer units
-/// than this wait in the writer.
+/// Progress of arrays is written, and failed deletions of change log entries are retried, only while fewer
+/// units than this wait in the writer.
 inline constexpr std::size_t kBackgroundWriteQueueMax = 4;
 /// Machines per record in the layout by number, which the first versions read and write. Such a record
 /// takes about 6 KB. The value is part of the stored format.
@@ -56,7 +56,8 @@
 inline constexpr int kProbeFailureThreshold = 2;
 /// Heartbeats held per MB of memory while a new leader reads the ledger.
 inline constexpr double kEarlyHeartbeatsPerMb = 40;
-/// Delay before a failed read of the ledger, of a dependency or of the change log is retried.
+/// Delay before a failed read of the ledger, of a dependency or of the change log is retried, and time
+/// between two reads of the change log until the leader knows all announced cancellations.
 inline constexpr double kLedgerReadRetryS = 0.3;
 /// Backoff of a job whose task ended with the reason "unknown": the worker did not know the job yet.
 inline constexpr double kUnknownJobBackoffS = 2.0;
@@ -129,14 +130,15 @@
 /// @name Failures
 /// @{
 
-/// Initial backoff of a job that fails on several machines. It doubles with each further machine.
+/// Base of the backoff of a job that has failed on at least kJobSuspectMachines machines since its last
+/// success. The backoff is twice the base at three machines, 4 s, and doubles with each further one.
 inline constexpr double kBackoffInitialS = 2.0;
 /// Maximum backoff of a job that fails on several machines.
 inline constexpr double kBackoffMaxS = 60.0;
 /// Machines on which a job must have failed for the failure to be attributed to the job.
 inline constexpr int kJobSuspectMachines = 3;
 /// Different jobs that must have failed on a machine since its last success for it to be cordoned. More
-/// failures than this in a row suffice if the job runs elsewhere.
+/// failures than this in a row suffice if other tasks of the job run or have succeeded.
 inline constexpr int kMachineSuspectErrors = 2;
 /// Time for which a job is not placed on a machine where it failed.
 inline constexpr double kAvoidMachineS = 120.0;
@@ -145,8 +147,9 @@
 /// Minimum time without a heartbeat before an unresponsive machine is given up: a worker needs 4 s and 1
 /// s more for each failed controller to reach another one.
 inline constexpr double kGiveUpMinS = 11.0;
-/// Share of unresponsive machines above which a network fault is assumed and none is returned, since
-/// returning them would lose all their work.
+/// Share of unresponsive machines above which a network fault is assumed, if there are more than two of them.
+/// Then a machine that has been unresponsive for too long is returned only if the cloud has announced its
+/// interruption, since returning the others would lose all their work.
 inline constexpr double kNetworkFaultShare = 0.35;
 
 /// @}
@@ -154,10 +157,11 @@
 /// @name Placement
 /// @{
 
-/// Minimum time for which preempted capacity is kept for the gang.
+/// Minimum time for which preempted machine capacity is kept for the gang, and time between two preemptions
+/// that free quota for the same gang.
 inline constexpr double kPreemptionHoldS = 8.0;
-/// Expected run times within which an array without a deadline or objective should be finished, in
-/// addition to kDefaultRunS.
+/// Expected run times within which a job without a deadline or objective should be finished, in addition to
+/// kDefaultRunS.
 inline constexpr double kDefaultAllowedRuns = 2;
 /// Share of an array's nominal rate that is attainable: image fetches, stops and changes of task take
 /// time.
@@ -182,13 +186,14 @@
 /// Maximum number of tasks of a gang that fit a machine for the gang to count as filling it. Machines are
 /// kept ready for such gangs.
 inline constexpr std::uint32_t kMachineFillingGangTasksMax = 3;
-/// Waiting time after which a gang is placed ahead of the fair-share order and claims machines, which
-/// then accept no other work, so that smaller jobs do not starve it.
+/// Waiting time after which a gang is placed ahead of the fair-share order of its priority and claims
+/// machines, which gangs considered later in the same round can't use, so that gangs with fewer tasks do not
+/// starve it.
 inline constexpr double kGangClaimAfterS = 40;
 /// Gangs that may claim machines in one placement round.
 inline constexpr int kGangClaimsPerRoundMax = 8;
-/// Waiting time after which an array without any started task is placed ahead of the fair-share order, so
-/// that it does not starve.
+/// Waiting time after which an array without any started task is placed ahead of the fair-share order of its
+/// priority, so that it does not starve.
 inline constexpr double kArrayOverdueWaitS = 100;
 /// Minimum time between two sorts of the queues.
 inline constexpr double kQueueSortIntervalS = 0.25;
--- a/src/constants/transport.hpp
+++ b/src/constants/transport.hpp
@@ -43,7 +43,7 @@
 inline constexpr double kLinkIdleTimeoutS = 3.0;
 /// Share of the usable sockets that users' connections may take.
 inline constexpr double kUserSocketShare = 0.7;
-/// Sockets reserved for the state service, the cloud and the other controllers.
+/// Sockets reserved for the state service, the cloud and the other controllers, at most half of all sockets.
 inline constexpr std::size_t kReservedSockets = 24;
 /// Incoming links per member: its current one, and those of processes that ended less than
 /// kLinkIdleTimeoutS ago.
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -72,7 +72,7 @@
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
   if (!machine.showed_token || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
     apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
-  if (may_place()) check_reserving_gangs(machine);
+  if (may_place()) advance_gangs_reserving_on(machine);
 }
 
 // The agent's counters went back while this leader knew the machine, so the agent was reset: its tasks are
@@ -97,7 +97,7 @@
 
 // Checks the gangs with reservations on the machine, and launches those whose reservations are now all
 // confirmed.
-void Scheduler::check_reserving_gangs(Machine& machine) {
+void Scheduler::advance_gangs_reserving_on(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: launching changes the list
   for (const auto id : holders)
     if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -104,7 +104,7 @@
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
     // If this heartbeat confirms the last reservation of a gang, its answer can already carry the launch.
-    check_reserving_gangs(machine);
+    advance_gangs_reserving_on(machine);
     place_arrays(machine);
   }
   answer_heartbeat(machine, key);
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Recent job arrivals: the load from new gangs and arrays, and the kinds of machines that gangs use.
+/// Recent job arrivals: the load from new gangs and arrays, and which kinds of machines suit recent gangs.
 #pragma once
 
 #include <deque>
@@ -24,19 +24,21 @@
   /// Records a job that became eligible. `time_left_s`: seconds until the job should be over.
   void record(const bookkeeping::Job& job, double time_left_s);
 
-  /// Whether a task of some recent gang fits the machine when it is empty.
+  /// Whether a task of some recent gang may run on the machine and fits it when it is empty.
   bool suits_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fits; }
-  /// Whether the machine holds at most `kMachineFillingGangTasksMax` tasks of some recent gang. Machines are
-  /// kept ready only for such gangs, since gangs with smaller tasks fit beside other work.
+  /// Whether, for some recent gang that may run on the machine, at least one and at most
+  /// `kMachineFillingGangTasksMax` of its tasks fit the machine when it is empty. Machines are kept ready
+  /// only for such gangs, since gangs with smaller tasks fit beside other work.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
-  /// The latest gang of which at most `kMachineFillingGangTasksMax` tasks fit one machine; else the latest
-  /// gang; null if there is none. Valid until the next call of `record`.
+  /// The latest gang of which at most `kMachineFillingGangTasksMax` tasks fit one machine of any type that it
+  /// allows; else the latest gang; null if there is none. Valid until the next call of `record`.
   const protocol::JobSpec* typical_gang() const;
-  /// Rate of machines needed by arriving gangs, per second, averaged over the last `kGangArrivalWindowS`.
+  /// Machines per second that arriving gangs need if nothing else runs on them, averaged over the last
+  /// `kGangArrivalWindowS`.
   double gang_machines_per_second() const;
   /// Cores needed on average by the arrays that arrived in the last `kArrayLoadWindowS`, for each team at
-  /// most its limit. An array counts for less if its due time leaves enough time to boot machines, which
-  /// takes `boot_s` seconds.
+  /// most its limit. An array counts for less, but at least for `kReadyCapacityShareMin`, if more than
+  /// `kReadyCapacityBoots` boots of `boot_s` seconds fit into the time allowed for it.
   double array_cores(double boot_s) const;
 
  private:
@@ -50,7 +52,7 @@
     double cores;      // of all its tasks together
     double allowed_s;  // from its recording to its due time, at least 1
   };
-  // Whether machines of one kind can run tasks of recent gangs.
+  // Answers of `suits_gangs` and `kept_for_gangs` for machines of one kind.
   struct GangUse {
     bool fits = false;
     bool fills = false;
--- a/src/coordination/scheduling/capacity_survey.hpp
+++ b/src/coordination/scheduling/capacity_survey.hpp
@@ -41,7 +41,7 @@
   enum class CapacityClass : std::uint8_t {
     kSpot,          // spot machines, the cheapest
     kOrdinary,      // not kept for gangs, or already with a gang
-    kKeptForGangs,  // without a gang, and suitable for gangs whose tasks take most of a machine
+    kKeptForGangs,  // without a gang, and kept for gangs (see `ArrivalHistory::kept_for_gangs`)
   };
   static constexpr std::size_t kClasses = 3;
   CapacityClass class_of(const bookkeeping::Machine& machine) const;
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -75,8 +75,9 @@
   Job* job;
 };
 
-// Whether `spec` cannot be placed if `failed` could not: it requires at least as many resources and tasks,
-// and has the same placement constraints.
+// Whether `spec` is assumed not to fit in this round either after `failed` did not: it requires at least as
+// many resources and tasks, and has the same placement constraints. Machines that only the failed gang had to
+// avoid are not considered.
 bool asks_no_less(const JobSpec& spec, const JobSpec& failed) {
   return failed.cpus <= spec.cpus && failed.gpus <= spec.gpus && failed.memory_gb <= spec.memory_gb &&
          failed.tasks <= spec.tasks && failed.spot == spec.spot && failed.zone == spec.zone &&
--- a/src/coordination/scheduling/machine_kind.hpp
+++ b/src/coordination/scheduling/machine_kind.hpp
@@ -9,7 +9,7 @@
 
 namespace robinford::coordination {
 
-/// Machines of one kind are interchangeable for every job: `kind_allowed` accepts all of them or none.
+/// A job specification allows either all machines of one kind or none of them (see `kind_allowed`).
 struct MachineKind {
   std::string type;
   std::string zone;
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -33,10 +33,11 @@
   return machine.gang_tasks > 0 || !machine.reservations.empty();
 }
 
-/// Number of the job's tasks in each zone, including reservations and unknown tasks of earlier attempts.
+/// Number of the job's tasks in each zone: runs, reservations, and unknown tasks (see `Placements`) of the
+/// job.
 struct ZoneCount {
   std::map<std::string, std::uint32_t> tasks;
-  std::uint32_t unknown = 0;  // on machines that are not in the ledger: may be in any zone
+  std::uint32_t unknown = 0;  // runs and reservations on machines not in the ledger: may be in any zone
 };
 ZoneCount count_tasks_by_zone(ControllerContext& context, const bookkeeping::Job& job,
                               const std::set<std::string>& unknown_task_machines);
@@ -45,7 +46,7 @@
 bool zone_allowed(const protocol::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
 /// How many more tasks of the job the machine may run under the policy limits `jobs_per_machine` and
-/// `tasks_per_job`. Does not consider free resources.
+/// `tasks_per_job`. Considers neither free resources nor unknown tasks.
 std::uint32_t slots_within_policy(ControllerContext& context, const bookkeeping::Job& job,
                                   const bookkeeping::Machine& machine);
 
@@ -63,7 +64,7 @@
 };
 // Assigns `needed` tasks and up to `extra` more to the offers; returns nothing if the `needed` tasks do not
 // fit. Zones and machines with the most free cpus come first. A gang with `one_zone` stays in one zone, and
-// one with `spread` has at most half of its tasks, rounded up, in each zone.
+// one with `spread` has at most half of `needed`, rounded up, in each zone.
 std::optional<std::vector<Assignment>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
                                                 std::uint32_t needed, std::uint32_t extra, bool concentrate);
 
--- a/src/coordination/scheduling/placements.hpp
+++ b/src/coordination/scheduling/placements.hpp
@@ -16,7 +16,8 @@
 ///  - the runs or reservations of the job, and the lists of them in the machine,
 ///  - the gang totals of the machine, and the validity of its cached free resources,
 ///  - the quota usage of the job's team (`ControllerContext::quota`).
-/// `audit` compares these with a full recount. Jobs and machines are owned by the ledgers of the context.
+/// `audit` recounts the totals of cpus and checks that each run is listed in its machine. Jobs and machines
+/// are owned by the ledgers of the context.
 class Placements {
  public:
   /// `context` must outlive the object.
@@ -43,15 +44,17 @@
   /// Releases all reservations of the gang.
   void release_reservations(bookkeeping::Job& job);
 
-  /// Replaces the list of tasks that the machine's heartbeat reports and that belong to no run. They use
-  /// capacity and are charged to their team's quota until a heartbeat no longer reports them as present.
+  /// Replaces the list of tasks that the machine's heartbeat reports and that belong to no run. While listed,
+  /// they use capacity and are charged to their team's quota. A task whose job is not in the ledger uses the
+  /// whole machine, which is charged to every team.
   void set_unknown_tasks(bookkeeping::Machine& machine, std::vector<protocol::TaskStatus> unknown_tasks);
   /// Names of the machines with unknown tasks.
   const std::set<std::string>& unknown_task_machines() const { return unknown_task_machines_; }
   /// Whether some machine has an unknown task of the job.
   bool has_unknown_tasks_of(protocol::JobId id) const;
 
-  /// Whether capacity was freed since the last `clear_capacity_freed`, so that waiting gangs may fit now.
+  /// Whether a run was removed or `release_reservations` was called since the last `clear_capacity_freed`, so
+  /// that waiting gangs may fit now.
   bool capacity_freed() const { return capacity_freed_; }
   void clear_capacity_freed() { capacity_freed_ = false; }
   /// Whether, since the last `clear_unqueued_array_task`, a task of an array that is in no queue became
@@ -59,8 +62,8 @@
   bool has_unqueued_array_task() const { return unqueued_array_task_; }
   void clear_unqueued_array_task() { unqueued_array_task_ = false; }
 
-  /// Compares the incrementally updated totals with a full recount, for tests. Returns a description of the
-  /// first difference, or an empty string.
+  /// Compares the incrementally updated totals of cpus with a full recount, and checks that each run is
+  /// listed in its machine, for tests. Returns a description of the first difference, or an empty string.
   std::string audit();
 
  private:
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -22,8 +22,8 @@
 std::string name_of(const Job& job) { return protocol::job_id_text(job.spec.id); }
 }  // namespace
 
-// Frees quota for a gang whose team has used its limit: stops tasks of the team's own arrays of lower
-// priority, those that lose the fewest cpu seconds first.
+// Frees quota for a gang for which its team's limit on cpus leaves too little: stops tasks of the team's own
+// arrays of lower priority, those that lose the fewest cpu seconds first.
 void Scheduler::free_quota_for(Job& job) {
   const double now = context_.now.steady;
   const auto* team = context_.settings.team(job.spec.team);
@@ -54,7 +54,7 @@
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
-  if (possible < excess) return;  // other gangs use the rest of the quota: it waits for them to end
+  if (possible < excess) return;  // other work that it can't preempt uses the quota: it waits
   job.quota_freed_until = now + c::kPreemptionHoldS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
@@ -75,7 +75,7 @@
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost_cpu_s;  // used by its run so far, and lost when it stops
+    double lost_cpu_s;  // used by its run so far; counted as lost when it stops
   };
   Machine* machine;
   std::vector<Victim> victims;
@@ -133,8 +133,9 @@
                option.victims.size(), option.machine->name, option.lost_cpu_s);
 }
 
-// Frees capacity for the gang by preempting tasks of lower priority on as many machines as it still needs,
-// those that lose the fewest cpu seconds first.
+// Frees capacity for the gang by preempting tasks of lower priority, for one task of the gang per machine, on
+// as many machines as it still needs, those that lose the fewest cpu seconds first. Does nothing while a
+// machine is reserved for the gang.
 void Scheduler::preempt_for(const Job& job) {
   const double now = context_.now.steady;
   if (has_reserved_machine(job)) return;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -75,8 +75,8 @@
     queues_[job->spec.team].push_back(job.get());
     ranks.emplace(job.get(), rank(*job, 1));
   }
-  // `share` is equal for all jobs of a team, and `borrows` changes with each placement, so neither is part of
-  // the key.
+  // `share` is equal for all jobs of a team in the same tier, and `borrows` changes with each placement, so
+  // neither is part of the key.
   const auto sort_key = [&](const Job* job) {
     const Rank& of_job = ranks.at(job);
     return std::tuple(of_job.priority, of_job.tier, of_job.time_left_s, of_job.submitted, of_job.id);
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -17,7 +17,7 @@
 struct Rank {
   bool borrows = false;        // placing it takes its team above its guarantee
   int priority = 0;            // the job's priority, negated
-  int tier = 0;                // `Job::tier`; -1 for a job that has waited for too long
+  int tier = 0;                // `Job::tier`; -1 for a job that has waited for too long (see `rank`)
   double share = 0;            // what the team uses, in relation to its share
   double time_left_s = 0;      // until the job should be over
   std::int64_t submitted = 0;  // time of day, ms
@@ -42,12 +42,16 @@
   /// deadline, else from the objective of its class, else from its expected run time, and is never later than
   /// the jobs that depend on it allow.
   double time_left(const bookkeeping::Job& job) const;
-  /// Expected time in seconds from the job becoming eligible to its end, including the transfer of its image.
+  /// Estimated time in seconds that a job needs at least from becoming eligible to its end: the expected run
+  /// time of one task, the transfer of the image at the lowest rate of all machine types, and two heartbeat
+  /// intervals. Waiting for capacity, and tasks of an array that run one after another, are not included.
   double expected_duration(const bookkeeping::Job& job) const;
   /// Whether the job is an array that this leader has known for more than `kArrayOverdueWaitS` and of which
   /// no task has started.
   bool waited_too_long(const bookkeeping::Job& job) const;
-  /// Returns the rank of the job if `tasks` of its tasks were placed at once.
+  /// Returns the rank of the job if `tasks` of its tasks were placed at once. Among jobs with equal `borrows`
+  /// and `priority`, arrays that have `waited_too_long` and gangs known for more than `kGangClaimAfterS` come
+  /// first.
   Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
 
   /// Empties the queues and makes the next `sort` due at once.
--- a/src/coordination/scheduling/run_times.hpp
+++ b/src/coordination/scheduling/run_times.hpp
@@ -14,14 +14,16 @@
 /// fleet, not safety.
 class RunTimes {
  public:
-  /// Records the owner's estimate of a job that became eligible.
+  /// Records the owner's estimate, if there is one, of a job that became eligible.
   void record_estimate(const protocol::JobSpec& spec);
-  /// Records that a task of the job succeeded after running for `ran_s` seconds.
+  /// Records that a task of the job succeeded after running for `ran_s` seconds. Only the first
+  /// `kLearnTasksPerJobMax` completions of a job with an estimate count for its class.
   void record_completion(bookkeeping::Job& job, double ran_s);
   /// Expected run time of a task of the job, in s: the mean of the job's own completions once there are
-  /// `kLearnCompletionsMin` of them.
+  /// `kLearnCompletionsMin` of them, before that as for its specification.
   double expected(const bookkeeping::Job& job) const;
-  /// Expected run time of a task, in s, from the owner's estimate and the completions of the job's class.
+  /// Expected run time of a task, in s, from the owner's estimate and the estimates and completions of the
+  /// job's class.
   double expected(const protocol::JobSpec& spec) const;
 
  private:
@@ -33,7 +35,7 @@
     double log_error_mean = 0;
     double log_error_variance = 0;
     int completion_count = 0;
-    double log_estimate_mean = 0;  // mean of the owners' estimates
+    double log_estimate_mean = 0;  // mean of the logarithms of the owners' estimates, each with equal weight
     int estimate_count = 0;
   };
   std::map<std::string, ClassTimes> classes_;
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -99,7 +99,7 @@
 
 // ---------------------------------------------------------------- periodic work
 
-// Logs why a job with no run and no reservation waits, once for each change of the reason.
+// Logs why an active job with no run and no reservation waits, once for each change of the reason.
 void Scheduler::log_wait_reasons() {
   if (!spdlog::should_log(spdlog::level::debug) || context_.now.steady < next_wait_log_) return;
   next_wait_log_ = context_.now.steady + c::kWaitReasonLogIntervalS;
@@ -158,7 +158,7 @@
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
     return "the quota of its team is used up";
   if (job.tier > 0) return "other arrays go first, since it would miss its due time anyway";
-  return "no machine has free capacity for it";
+  return "no machine has free capacity that it may use now";
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The leader's scheduler. Its members are implemented in leader/ (recovery, heartbeats, machine liveness,
-/// job records) and in scheduling/ (gangs, arrays, preemption).
+/// The leader's scheduler. Its members are implemented in leader/ (recovery, heartbeats, direct commands,
+/// failures, machine liveness, job records) and in scheduling/ (gangs, arrays, preemption).
 #pragma once
 
 #include <functional>
@@ -92,8 +92,8 @@
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
-  /// Whether work may be launched: this controller leads, has reconciled the machines, and knows all
-  /// announced cancellations.
+  /// Whether work may be launched: this controller leads, is serving (the machines are reconciled or the time
+  /// for that is over), and knows all announced cancellations.
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up_on_cancellations();
   }
@@ -127,7 +127,8 @@
   /// Steady time after which the machine's lease has certainly expired, whichever controller answered its
   /// last heartbeat.
   double lease_expired_by(const bookkeeping::Machine& machine) const;
-  /// Latest steady time at which any controller can have answered a heartbeat of the machine.
+  /// Latest steady time at which any controller can have answered a heartbeat of the machine, or at which its
+  /// agent epoch became known here, if that is later: a lease starts with the epoch.
   double last_answer_at(const bookkeeping::Machine& machine) const;
   /// Records durably that the heartbeats of an unresponsive machine are no longer answered, once
   /// `kUnansweredLeaseShare` of a lease has passed since its last possible answer.
@@ -144,7 +145,8 @@
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
   /// See `coordination::has_gang`.
   static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
-  /// Stops all tasks on the machine. Tasks with checkpoints get time to save one.
+  /// Stops all runs on the machine, and all other tasks of gangs that have one there. Tasks with checkpoints
+  /// get time to save one.
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   /// Gangs that were waiting for capacity after the last placement round.
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
@@ -264,7 +266,7 @@
   void direct_command_answered(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
   void return_reset_machine(bookkeeping::Machine& machine);
   void requeue_gangs_reserving_on(bookkeeping::Machine& machine);
-  void check_reserving_gangs(bookkeeping::Machine& machine);
+  void advance_gangs_reserving_on(bookkeeping::Machine& machine);
   void launch_directly(bookkeeping::Machine& machine);
   void send_stops();
   // ---- durable records ----
--- a/src/coordination/scheduling/unreconciled_machines.hpp
+++ b/src/coordination/scheduling/unreconciled_machines.hpp
@@ -12,9 +12,9 @@
 namespace robinford::coordination {
 
 /// Counts the machines that were recorded under an earlier leader and whose tasks this leader does not know
-/// yet (`Machine::unreconciled`). Until a heartbeat lists its tasks, its lease has expired, or the machine is
-/// gone, a task that it may hold must not start elsewhere, since it could then run twice, and it is charged
-/// to the quota of its team.
+/// yet (`Machine::unreconciled`). Until a heartbeat or the answer to a direct command lists its tasks, its
+/// lease has expired, or the machine is gone, a task that it may hold must not start elsewhere, since the
+/// task could then run twice, and the task is charged to the quota of its team.
 ///
 /// Invariant: `count()` is the number of machines in the ledger with `unreconciled` set. Only `add` and
 /// `mark_reconciled` keep it equal to these flags.
@@ -33,8 +33,9 @@
   std::size_t count() const { return count_; }
   /// Whether one of these machines may run an unplaced task of the job.
   bool may_hold_tasks_of(const bookkeeping::Job& job) const;
-  /// Charges the teams for all tasks that these machines may hold. Visits all jobs, so it is called only at
-  /// the end of loading and, through `charge_quota_if_changed`, periodically.
+  /// Charges the teams for all tasks that these machines may hold, for each job at most the capacity of the
+  /// machines that it allows. Visits all jobs, so it is called only at the end of loading and, through
+  /// `charge_quota_if_changed`, periodically.
   void charge_quota();
   /// Calls `charge_quota` if a machine was reconciled since the last charge. In between, the charge can only
   /// be too high: tasks are adopted and machines reconciled, but no machine becomes unreconciled.
