--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -18,8 +18,9 @@
   kDiscovering,  ///< reads the leader key to learn which member leads
   kFollowing,    ///< another controller leads; watches the leader key
   kCampaigning,  ///< acquires a lease and tries to write the leader key
-  kLeading,      ///< holds the leader key, and its lease is valid
-  kDegraded,  ///< the lease could not be renewed in time: answers heartbeats, but launches and writes nothing
+  kLeading,      ///< won the leader key; `Election::valid` tells whether its lease still holds
+  kDegraded,     ///< the lease was not renewed in time: answers heartbeats for a while, starts and writes
+                 ///< nothing
 };
 /// Name of the role in log lines.
 const char* to_text(Role role);
@@ -34,8 +35,9 @@
 ///  - A lost, late or refused answer never makes a controller leader. When the campaign's transaction gets no
 ///    conclusive answer, the controller reads the leader key to learn the outcome.
 ///
-/// A leader that can't reach the key-value store is degraded. It keeps answering heartbeats within the bound
-/// of docs/design.md, "Cancellations", so that running tasks keep their leases.
+/// A leader that can't renew its lease in time, for instance because the key-value store is unreachable, is
+/// degraded. It keeps answering heartbeats within the bound of docs/design.md, "Cancellations", so that
+/// running tasks keep their leases.
 class Election {
  public:
   /// Callbacks that `become` makes after it has changed the role.
@@ -52,7 +54,8 @@
   void tick();
   /// Handles a status message from another controller.
   void on_status(const protocol::PeerMessage& status);
-  /// Handles a term reported by a worker or another controller. Steps down if it is higher than the own term.
+  /// Handles a term reported by a worker or another controller. If it is higher than `term`, adopts it and
+  /// gives up leadership.
   void higher_term_seen(std::uint64_t term);
   /// Steps down because the in-memory state may differ from the key-value store, so that the next term starts
   /// from the stored records: another writer changed the leader key or a record that only the leader writes,
@@ -69,21 +72,23 @@
   std::uint64_t mod_revision() const { return mod_revision_; }
   /// The member last known to lead; empty if unknown.
   const std::string& leader() const { return leader_; }
-  /// Steady time at which the last successful lease renewal was sent.
+  /// Steady time at which the last successful renewal of the lease, or else the request for it, was sent.
   double last_renewal_sent_at() const { return last_renewal_sent_at_; }
 
   /// Whether this controller leads with an unexpired lease, and so may place, launch and write.
   bool valid() const;
   /// Whether this controller may still send commands with its term as fencing token: it leads, perhaps
-  /// degraded, and has seen no later leader. Such commands renew no worker's lease.
+  /// degraded, has seen no higher term, and its last successful renewal was sent recently enough. Such
+  /// commands renew no worker's lease.
   bool owns_fencing_token() const;
   /// Whether this controller may answer heartbeats with its fencing token, which renews the workers' leases.
   /// It may while it knows every cancellation announced to a user, except those announced so recently that
   /// leases renewed now still expire before the cancellation is due.
   bool may_answer_heartbeats() const;
-  /// Whether this controller has read the cancellations that others announced while it could not lead, so
-  /// that it may start work. Without this check, it could start a job that was cancelled during an outage and
-  /// whose change-log entry it has not read yet.
+  /// Whether a complete read of the change log has begun since the role last became kLeading, also after a
+  /// recovery from kDegraded, so that this controller may start work. Except in strict mode, the last such
+  /// read must also have begun less than half of the answer window ago. Without this check, the controller
+  /// could start a job that was cancelled during an outage and whose change-log entry it has not read yet.
   bool caught_up_on_cancellations() const;
   /// Whether a user may be told now that the job is cancelled. If so, all its tasks end in time, whichever
   /// controller answers heartbeats.
--- a/src/coordination/election/former_leaders.cpp
+++ b/src/coordination/election/former_leaders.cpp
@@ -12,11 +12,12 @@
 void FormerLeaders::set_predecessor(const TermRecord& predecessor) {
   predecessor_ = predecessor.member;
   predecessor_incarnation_ = predecessor.incarnation;
-  // Leaders of older versions don't record their bound; they use this one.
+  // Leaders of older versions do not record how long they answer heartbeats; for them it is
+  // kDegradedAnswerMaxS.
   predecessor_answer_bound_s_ =
       predecessor.answer_ms ? static_cast<double>(*predecessor.answer_ms) / 1000 : c::kDegradedAnswerMaxS;
-  // A leader of an older version answers heartbeats without recording unanswered machines, so the guarantee
-  // starts again with the term after it.
+  // A leader of an older version does not record the machines whose heartbeats it does not answer, and its
+  // term record lacks the field. The guarantee then starts with the term after it.
   unanswered_recorded_since_ = predecessor.unanswered_recorded_since > 0
                                    ? predecessor.unanswered_recorded_since
                                    : predecessor.term + 1;
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -43,7 +43,7 @@
   const ControllerContext& context_;
   std::string predecessor_;  ///< member that led in the last term; empty: there was none
   std::uint64_t predecessor_incarnation_ = 0;
-  double predecessor_answer_bound_s_ = 0;     ///< how long the predecessor may answer heartbeats
+  double predecessor_answer_bound_s_ = 0;     ///< how long it may answer heartbeats after an election
   std::int64_t earlier_stopped_wall_ms_ = 0;  ///< after it, no leader before the predecessor answers
   std::uint64_t unanswered_recorded_since_ = 0;
   double predecessor_stopped_at_ = -1e9;  ///< steady time
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -30,7 +30,8 @@
   /// First term from which on every leader has recorded the machines whose heartbeats it does not answer; 0:
   /// unknown.
   std::uint64_t unanswered_recorded_since = 0;
-  /// Wall time, ms, after which no leader before this one answers heartbeats; 0: there was no earlier leader.
+  /// Wall time, ms, after which no leader before this one answers heartbeats; 0: no earlier leader on another
+  /// member is recorded.
   std::int64_t former_stopped_wall_ms = 0;
   /// How long this leader may answer heartbeats after another one is elected, in ms; absent in records of
   /// older versions.
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -19,13 +19,14 @@
   /// Tracks the peers named in the settings. `context` must outlive this object.
   explicit PeerVersions(ControllerContext& context);
 
-  /// Registers this process, then reads the registry until the running process of every peer is registered.
+  /// Registers this process, then reads the registry until every peer has registered, and each peer whose
+  /// status was received has registered its running process.
   void tick();
   /// Notes the incarnation in the member's latest status.
   void observe(const std::string& member, std::uint64_t incarnation);
   /// Whether the member's running process is known to support dependencies.
   bool understands_dependencies(const std::string& member) const;
-  /// Whether the member's running process grants quota leases when it leads.
+  /// Whether the running process of a peer grants quota leases when it leads; false for this member.
   bool serves_quota_leases(const std::string& member) const;
   /// Registers this process as one that grants quota leases when it leads. Must be called before the first
   /// tick.
--- a/src/coordination/leader/cancelled_work.cpp
+++ b/src/coordination/leader/cancelled_work.cpp
@@ -23,8 +23,8 @@
   const double cancelled_at = now - age_s;
   double deadline = cancelled_at + patience;
   // A new leader finds old cancellations in the ledger. It gives each machine time for two heartbeats,
-  // limited to what is left of the time that the cancellation allows. Without this, all of these machines
-  // were once returned at the moment when the ledger was read.
+  // limited to what is left of the time that the cancellation allows, if any is left. Without this, all of
+  // these machines were once returned at the moment when the ledger was read.
   if (machine.unreconciled || machine.unanswered_since_ms) {
     const double round_end =
         leader_since +
--- a/src/coordination/leader/cancelled_work.hpp
+++ b/src/coordination/leader/cancelled_work.hpp
@@ -9,9 +9,9 @@
 
 namespace robinford::coordination {
 
-/// Keeps a deadline for each machine that may hold tasks of a cancelled job (`Machine::overdue`). The machine
-/// is returned if no heartbeat shows by then that the tasks are gone. Otherwise a hung machine could keep
-/// cancelled work for longer than `cancel_s` allows.
+/// Keeps a deadline for each cancelled job on each machine that may hold tasks of it (`Machine::overdue`).
+/// The machine is returned if no heartbeat shows by then that the tasks are gone. Otherwise a hung machine
+/// could keep cancelled work for longer than `cancel_s` allows.
 class CancelledWork {
  public:
   /// `context` must outlive the object.
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -87,9 +87,10 @@
                          for (const auto& event : result.events) handle_event(event);
                          if (result.complete()) return watch(std::max(after, result.revision));
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
-                           return events_.entries_missed();  // the changes since then are unknown
-                         // No answer: waits for a read to complete, then watches again from the same
-                         // revision.
+                           // The changes after revision `after` were compacted and can't be read any more.
+                           return events_.entries_missed();
+                         // No usable answer: watches again from the same revision, after a read was answered
+                         // or has failed.
                          context_.state.read(
                              bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
@@ -110,8 +111,8 @@
   delete_entry(event.key, event.mod_revision);
 }
 
-// Deletes an entry. A deletion that is refused because too many writes are queued is retried later, since a
-// remaining entry would be read by every later leader.
+// Deletes an entry. A deletion that is refused, usually because too many writes are queued, is retried later,
+// since each read of the log would return the remaining entry again.
 void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
   context_.writer.submit(
       {{key, mod_revision, std::nullopt}},
@@ -154,8 +155,9 @@
   read("");
 }
 
-// Reads the log from the entry `after` on. A complete read proves up to which time all cancellations by other
-// controllers are known here. The entries are deleted when the watch reports them.
+// Reads the entries whose keys follow `after`. A complete read and a renewal of the leader key together prove
+// up to which time all cancellations by other controllers are known here. The entries are deleted when
+// the watch reports them.
 void ChangeLog::read(const std::string& after) {
   context_.state.list(kPrefix, after,
                       [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -1,7 +1,9 @@
 /// @file
-/// The change log in the state service: one entry for each change that a controller other than the leader
-/// wrote about a job. An entry is written in the same transaction as the change that it records. Only the
-/// leader deletes entries, after it has acted on them.
+/// The change log in the state service: one entry for each job that a controller other than the leader
+/// admitted, and for each cancellation that a controller wrote without having the job in a leader's ledger.
+/// An entry is written in the same transaction as the change that it records. Only the leader deletes
+/// entries: those that exist when its term begins before it reads the jobs, later ones after it has acted on
+/// them.
 #pragma once
 
 #include <functional>
@@ -14,9 +16,9 @@
 namespace robinford::coordination {
 
 /// The leader's reader of the change log. It watches for entries, and also reads the whole log about once a
-/// second: a watch that the service refused goes unnoticed, while a read shows which entries exist. Requests
-/// that need such a proof start a read as soon as the rate limit allows. Owns the list of entries whose
-/// deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
+/// second: a watch that gets no usable answer reports no entries, while a read shows which ones exist.
+/// Requests that need such a proof start a read as soon as the rate limit allows. Owns the list of entries
+/// whose deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
 class ChangeLog {
  public:
   /// Callbacks for the changes on which the leader acts.
@@ -66,10 +68,10 @@
   ControllerContext& context_;
   const Election& election_;
   Events events_;
-  std::uint64_t generation_ = 0;  // counts terms, to ignore answers that belong to an earlier one
+  std::uint64_t generation_ = 0;  // changed by `begin` and `end`, so that earlier answers are ignored
   bool reading_ = false;
   double read_began_ = 0;                    // s, steady
-  std::vector<Done> waiting_for_next_read_;  // requests that arrived after the current read began
+  std::vector<Done> waiting_for_next_read_;  // requests that no read in progress covers
   std::vector<Done> waiting_for_current_read_;
   std::vector<StoredEntry> failed_deletions_;  // to be deleted once more
 };
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -57,7 +57,7 @@
   std::set<protocol::JobId> unknown_;  // dependencies that are neither in the ledger nor known to be over
   std::set<protocol::JobId> reading_;  // dependencies whose records are being read
   std::set<protocol::JobId> missing_;  // dependencies of which there is no record
-  std::uint64_t generation_ = 0;       // counts terms, to ignore answers that belong to an earlier one
+  std::uint64_t generation_ = 0;       // changed by `clear`, so that answers from an earlier term are ignored
   double next_read_ = 0;
 };
 
--- a/src/coordination/leader/direct_commands.cpp
+++ b/src/coordination/leader/direct_commands.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-// Through heartbeats, the start of a gang takes two of them: one that confirms its reservations and one whose
-// answer carries the launch. A direct command costs a connection for each launch. That is worthwhile if two
-// heartbeats take a large part of the shortest start that users expect.
+// Through heartbeats, the start of a gang takes up to two of them from a machine: one that confirms its
+// reservation and one whose answer carries the launch. A direct command costs a connection to each machine.
+// That is worthwhile if two heartbeats take a large part of the shortest start that users expect.
 bool launches_directly(const protocol::Settings& settings) {
   double shortest = c::kDefaultStartObjectiveS;
   for (const auto& objective : settings.objectives)
--- a/src/coordination/leader/direct_commands.hpp
+++ b/src/coordination/leader/direct_commands.hpp
@@ -28,8 +28,8 @@
   std::vector<protocol::Command> commands;  // empty: a probe, which only asks for the worker's state
 };
 
-/// Sends direct commands and probes and tracks those that are not answered yet. Limits the number of open
-/// commands (to a part of the connections) and their rate (by the processor share).
+/// Sends direct commands and probes and tracks those that are not answered yet. Computes the limits on the
+/// number of open commands (a part of the connections) and on their rate (by the processor share).
 ///
 /// Also owns the list of unreconciled machines that a new leader probes, so that it need not wait for their
 /// heartbeats (docs/design.md, "What was added", "Questions").
@@ -72,10 +72,11 @@
   /// Removes and returns the open command that was answered or has timed out. Returns nothing for an unknown
   /// id, for instance one of an earlier term.
   std::optional<OpenCommand> close(std::uint64_t id);
-  /// Records that a command got no valid answer. Probes the machine again if it may be unreachable, that is,
-  /// if its heartbeats arrive but neither answers nor commands reach it. Returns kUnreachable, once for each
-  /// machine, when enough probes have failed; the machine should then be cordoned. The number of such
-  /// machines is limited: if many seemed unreachable, the fault would be with this controller.
+  /// Records that a command got no valid answer. Plans a further probe of an unreconciled machine, up to a
+  /// limit. Probes a machine at once if it may be unreachable, that is, if its heartbeats arrive but neither
+  /// answers nor commands seem to reach it. Returns kUnreachable when enough probes have failed; the caller
+  /// must then cordon the machine, as cordoned ones are not judged again. The number of such machines is
+  /// limited: if many seemed unreachable, the fault would more likely be with this controller.
   [[nodiscard]] Reachability record_failure(bookkeeping::Machine& machine);
 
  private:
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -73,8 +73,8 @@
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
-  // The agent's lease expired although its last heartbeat was answered less than half a lease ago: the
-  // answers do not reach the machine.
+  // The agent started a new epoch, as it does when its lease expires, although a heartbeat of the machine was
+  // answered less than half a lease ago: the answers may not reach the machine.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
     record_undelivered(machine, c::kUndeliveredCommandsMax);
   // The worker refuses commands that are addressed to the previous agent epoch.
@@ -132,7 +132,7 @@
 // Updates a run from its status in the heartbeat. Returns true if the run has exited.
 bool Scheduler::update_reported_run(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) {  // the launch reached the machine
+  if (!run.seen) {  // the first heartbeat that lists the run shows that its launch reached the machine
     machine.undelivered_commands = 0;
     machine.probe_failures = 0;
   }
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -158,8 +158,8 @@
   round_requested_ = true;
 }
 
-// Confirms the reservations that were made before this heartbeat arrived: it shows that the capacity is still
-// free.
+// Confirms the reservations that were made before this heartbeat arrived. Their capacity is not compared with
+// the tasks that the heartbeat lists, so a heartbeat that brought unknown tasks confirms them as well.
 void Scheduler::confirm_reservations(Machine& machine) {
   for (const auto id : machine.reservations) {
     Job* job = context_.jobs.find(id);
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -75,7 +75,7 @@
   if (state == FinalState::kCancelled && job.cancelled_ms == 0) job.cancelled_ms = context_.now.wall_ms;
   // The live record of a completed job is deleted, as no task of it is left to run. The live record of a
   // cancelled job keeps its description until none of its tasks can be on any machine, so that a new leader
-  // knows which tasks may still run and whose limit they count against.
+  // knows which tasks may still run and which team's quota they count against.
   WriteOp live{JobLedger::live_key(id), job.mod_revision, std::nullopt};
   if (state == FinalState::kCancelled) {
     bool whole = true;
@@ -280,8 +280,8 @@
       WritePriority::kBackground);
 }
 
-// Writes the progress of a job. The record only saves the next leader work, so the write waits until few
-// others are queued.
+// Writes the record of a job that was just released, or the progress of a job. A progress record only saves
+// the next leader work, so that write waits until few others are queued.
 void Scheduler::write_progress(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
@@ -297,8 +297,9 @@
   return placements_.has_unknown_tasks_of(id) || cancelled_work_.may_remain(id);
 }
 
-// Retries unanswered reads and final records, writes progress, and erases jobs of which no task is left. The
-// record of a cancelled job is kept for the next leader while a machine may still hold its tasks.
+// Retries unanswered reads and final records, writes progress and the final records of jobs cancelled through
+// a dependency, and erases jobs of which no task is left. The record of a cancelled job is kept for the next
+// leader while a machine may still hold its tasks.
 void Scheduler::sweep_jobs() {
   for (const auto id : std::exchange(jobs_to_reread_, {})) read_job(id);
   std::vector<JobId> gone;
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -19,8 +19,8 @@
 }  // namespace
 
 // A failed task may be the fault of its machine, its job, or both. A machine that fails tasks of different
-// jobs, or keeps failing tasks that work elsewhere, is cordoned. A job that fails on different machines is
-// retried with an increasing backoff.
+// jobs, or keeps failing tasks of a job that has other tasks placed or done, is cordoned. A job that fails on
+// different machines is retried with an increasing backoff.
 void Scheduler::record_failure(Machine& machine, Job& job) {
   const double now = context_.now.steady;
   ++machine.errors;
@@ -52,8 +52,8 @@
   spdlog::info("machine {} is cordoned: {}", machine.name, why);
 }
 
-// Counts commands that newer heartbeats show were never received. A probe then decides whether the machine is
-// unreachable.
+// Counts commands that newer heartbeats show were never received. From kUndeliveredCommandsMax on, probes
+// decide whether the machine is unreachable.
 void Scheduler::record_undelivered(Machine& machine, int by) {
   machine.undelivered_commands += by;
   if (machine.undelivered_commands >= c::kUndeliveredCommandsMax) probe_if_suspect(machine);
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -19,7 +19,8 @@
   return last_answer_at(machine) + context_.settings.lease_s * (1 + 2 * c::kClockDrift) + c::kLeaseMarginS;
 }
 
-// Returns the latest steady time at which any controller can have answered a heartbeat of the machine.
+// Returns the latest steady time at which the machine's lease can have begun or been renewed by an answer of
+// any controller.
 double Scheduler::last_answer_at(const Machine& machine) const {
   if (machine.unanswered_since_ms)
     return context_.now.steady + (static_cast<double>(*machine.unanswered_since_ms - context_.now.wall_ms) +
@@ -75,9 +76,9 @@
 }
 
 // Reports whether a direct launch to the machine is unanswered. Such a launch may still be carried out while
-// the machine's agent epoch lasts. Neither missing heartbeats nor an expired lease rule that out, only the
-// cloud's confirmation of the machine's return does. Sets the machine to returning when the launch is overdue
-// and its job is over.
+// the machine's agent epoch lasts. Unless a heartbeat shows a newer epoch, only the cloud's confirmation of
+// the machine's return rules that out; missing heartbeats and an expired lease do not. Sets the machine to
+// returning when the launch is overdue and its job is over.
 bool Scheduler::check_unanswered_launches(Machine& machine) {
   if (machine.direct.empty() || machine.state == MachineState::kGone) return false;
   bool any_open = false;
@@ -95,8 +96,8 @@
   return any_open;
 }
 
-// Drops the tasks of a silent machine once its lease has certainly expired. If a direct launch could still
-// start work there, the machine is returned instead.
+// Drops the tasks of an unresponsive or returning machine once its lease has certainly expired, unless its
+// agent was reset. If a direct launch could still start work there, the machine is returned instead.
 void Scheduler::handle_expired_lease(Machine& machine, bool has_open_launch) {
   if (machine.state != MachineState::kUnresponsive && machine.state != MachineState::kReturning) return;
   const bool has_work = !machine.tasks.empty() || machine.unreconciled || !machine.unknown_tasks.empty();
@@ -126,7 +127,8 @@
   cancelled_work_.forget(machine);
   drop_machine_tasks(machine, "its machine was returned");
   MachineLedger::set_state(machine, MachineState::kGone);
-  // Logged only for machines that this leader has known since their provisioning request.
+  // Logged only for machines that this leader has known since their provisioning request, or since an
+  // unexpected first heartbeat.
   if (machine.sent_heartbeat && machine.provisioned_at > 0 && machine.cpus > 0 &&
       machine.known_at - machine.provisioned_at < 1) {
     const double lived = context_.now.steady - machine.provisioned_at;
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -30,10 +30,10 @@
   /// leadership is not valid.
   void write_due();
 
-  /// Whether a record was written since the last `clear_written`, so that machines may have become
+  /// Whether a record was written since the last `reset_written_flag`, so that machines may have become
   /// launchable.
   bool written() const { return written_; }
-  void clear_written() { written_ = false; }
+  void reset_written_flag() { written_ = false; }
 
  private:
   // The content of a record once the write in flight has succeeded.
@@ -50,7 +50,7 @@
   ControllerContext& context_;
   Election& election_;
   const PeerVersions& versions_;
-  std::uint64_t generation_ = 0;  // counts terms, to ignore answers that belong to an earlier one
+  std::uint64_t generation_ = 0;  // changed by `reset`, so that answers from an earlier term are ignored
   bool written_ = false;
 };
 
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scheduler: a new leader loads the ledger and waits for a full round of heartbeats before it places any
-/// task. docs/design.md, section "What was added", "Records" and "Questions".
+/// Scheduler: a new leader loads the ledger and waits for a round of heartbeats before it places any task.
+/// docs/design.md, section "What was added", "Records" and "Questions".
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -177,8 +177,8 @@
   for (const auto& waiting : early) heartbeat(waiting.key, waiting.heartbeat);
 }
 
-// Registers the machines of earlier leaders as unreconciled, unless their lease has certainly expired, and
-// plans probes of those with a known address.
+// Registers the machines of earlier leaders as unreconciled, unless their record shows since when they are
+// unanswered and their lease has therefore certainly expired. Plans probes of those with a known address.
 void Scheduler::list_unreconciled_machines() {
   for (auto& [name, machine] : context_.machines.all()) {
     set_capacity_from_catalog(machine);
@@ -190,7 +190,8 @@
   }
 }
 
-// Finishes jobs that are already over and records the arrival of active ones.
+// Finishes jobs that ended while the ledger was loaded, completes those whose tasks are all done, and records
+// the arrival of the other active ones.
 void Scheduler::settle_loaded_jobs() {
   for (auto& [id, job] : context_.jobs.all()) {
     // Another controller may have cancelled the job just after the list was read.
@@ -217,7 +218,8 @@
 }
 
 // Returns whether the round of heartbeats is complete: every machine that an earlier leader may have used has
-// reported its tasks or failed to answer a probe, or the time for the round is over.
+// reported its tasks or failed to answer a probe, and some machine has reported, or the time for the round is
+// over.
 bool Scheduler::reconciled() {
   const double now = context_.now.steady;
   if (now >= reconcile_until_) return true;
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -26,7 +26,7 @@
   const bool due = round_requested_ || placements_.capacity_freed() || machine_records_.written();
   round_requested_ = false;
   placements_.clear_capacity_freed();
-  machine_records_.clear_written();
+  machine_records_.reset_written_flag();
   return due;
 }
 
