--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -62,12 +62,13 @@
   Cancellations cancellations;
   BootTimes boots;
   Metrics metrics;
-  /// Called once the final state of a job is durable.
+  /// Called when the final state of a job is durable.
   std::function<void(protocol::JobId, bookkeeping::FinalState)> on_job_final_state;
   /// Machine types by name; empty until the catalog has been read.
   std::map<std::string, protocol::MachineType> types;
 
-  /// Maximum number of entries of a queue or cache, in proportion to the memory in the settings.
+  /// Maximum number of entries of a queue or cache, in proportion to the memory in the settings but at least
+  /// `kBoundLeast`.
   std::size_t max_entries(double entries_per_mb) const {
     return static_cast<std::size_t>(std::max(kBoundLeast, settings.memory_mb * entries_per_mb));
   }
--- a/src/coordination/fleet/boot_times.hpp
+++ b/src/coordination/fleet/boot_times.hpp
@@ -16,7 +16,7 @@
   /// Records that a machine of the type was up `seconds` after its provisioning request.
   void record(const std::string& type, double seconds);
   /// Seconds after the provisioning request at which a boot is late: the machine is no longer counted on, and
-  /// a replacement is provisioned.
+  /// a replacement is provisioned if its capacity is still needed.
   double late_after_s(const protocol::MachineType& type) const;
 
  private:
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -33,7 +33,7 @@
       scheduler_(scheduler),
       budget_(context.settings.cloud_rps * c::kCloudBudgetShare, 1) {}
 
-void CloudClient::begin() {
+void CloudClient::begin_term() {
   ++generation_;
   request_counter_ = 0;
   requests_.clear();
@@ -47,7 +47,7 @@
   catalog_published_ = false;
 }
 
-void CloudClient::end() { ++generation_; }
+void CloudClient::end_term() { ++generation_; }
 
 void CloudClient::call(const std::string& method, const std::string& target, std::string body,
                        bookkeeping::ResultCallback answered) {
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -30,17 +30,18 @@
   kCancelledWorkOnly,  ///< those that may still run cancelled work; the scope of a degraded leader
 };
 
-/// Owns the rate budget of cloud calls, the provisioning requests and the list of pools that recently refused
-/// one. Applies the answers to the machine ledger. Answers that arrive after `end` are dropped.
+/// Owns the rate budget of cloud calls, the provisioning requests and the list of pools that recently did not
+/// fulfil one completely. Applies the answers to the machine ledger. Answers that arrive after `end_term` are
+/// dropped.
 class CloudClient {
  public:
   /// The arguments must outlive this object.
   CloudClient(ControllerContext& context, const Election& election, Scheduler& scheduler);
 
-  /// Starts a term of leadership with no requests and no calls in flight.
-  void begin();
+  /// Starts a term of leadership with no requests; answers to calls of earlier terms are dropped.
+  void begin_term();
   /// Ends the term: answers that arrive from now on are dropped.
-  void end();
+  void end_term();
   /// Adds to the budget the calls that have accrued up to now.
   void refill_budget() { budget_.refill(context_.now.steady); }
   /// Sends the most urgent call that is due, if the budget covers one: first the catalog, then provisioning
@@ -49,11 +50,11 @@
 
   /// Queues requests for `count` machines in all, each within the cloud's limit for one request.
   void provision(const CapacityPool& pool, int count);
-  /// Whether a request for the pool is queued or in flight.
+  /// Whether a request for the pool is queued, in flight or waiting for its next attempt.
   bool has_request(const CapacityPool& pool) const;
   /// All requests without a final answer.
   const std::vector<ProvisioningRequest>& requests() const { return requests_; }
-  /// Whether the pool has not refused a request recently.
+  /// Whether no request to the pool was recently refused, as a whole or for some of its machines.
   bool may_have_capacity(const CapacityPool& pool) const;
 
   /// Returns machines in the state kReturning to the cloud, with one call in flight at a time.
@@ -81,8 +82,8 @@
   std::vector<ProvisioningRequest> requests_;
   std::map<CapacityPool, double> refused_until_;  ///< steady time
   double next_return_ = 0;                        ///< steady time
-  double next_catalog_ = 0;                       ///< steady time
-  double next_list_ = 0;                          ///< steady time
+  double next_catalog_ = 0;  ///< steady time; kCatalogReadIntervalS later once types are known
+  double next_list_ = 0;     ///< steady time
   bool catalog_in_flight_ = false;
   bool list_in_flight_ = false;
   bool return_in_flight_ = false;
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -19,12 +19,12 @@
       scale_in_(context, scheduler) {}
 
 void Fleet::begin() {
-  cloud_.begin();
+  cloud_.begin_term();
   zones_.clear();
   next_review_ = 0;
 }
 
-void Fleet::end() { cloud_.end(); }
+void Fleet::end() { cloud_.end_term(); }
 
 void Fleet::tick() {
   cloud_.refill_budget();
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -15,10 +15,11 @@
   ScaleIn(ControllerContext& context, const Scheduler& scheduler);
 
   /// Drains the most expensive machines while there is more capacity than the arrays need: they take no new
-  /// array tasks, so that they become idle and can be returned.
+  /// array tasks, so that they become idle and can be returned. Free spare machines for gangs are not
+  /// drained.
   void drain_surplus(double array_cores_needed);
-  /// Moves machines to the state kReturning that failed, did not boot, are unresponsive or cordoned, or have
-  /// been idle for too long.
+  /// Moves machines to the state kReturning that failed, did not boot, are unresponsive or cordoned, or are
+  /// drained and have been idle for too long.
   void mark_for_return();
   /// Removes machines from the ledger that were returned long ago, or that no source has shown for long.
   void remove_stale_machines();
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -69,7 +69,7 @@
   gang_claimed_cores_ = 0;
   for (const auto& [name, machine] : context_.machines.all()) {
     if (machine.state != MachineState::kGone) ++machines_by_zone_[machine.zone];
-    if (is_usable(machine)) array_capacity_cores_ += array_cores(machine);
+    if (is_up_or_expected(machine)) array_capacity_cores_ += array_cores(machine);
   }
   for (const auto& request : cloud_.requests()) {
     const auto type = context_.types.find(request.pool.type);
@@ -95,7 +95,7 @@
     if (free.cpus > 0) alike[{pool, free.cpus, free.gpus, free.memory_gb}] += count;
   };
   for (auto& [name, machine] : context_.machines.all())
-    if (is_usable(machine))
+    if (is_up_or_expected(machine))
       add({machine.type, machine.zone, machine.spot}, free_resources(context_, machine), 1);
   for (const auto& request : cloud_.requests()) {
     const auto type = context_.types.find(request.pool.type);
@@ -120,7 +120,7 @@
          !zones_.unresponsive(machine.zone);
 }
 
-bool ScaleOut::is_usable(const Machine& machine) const {
+bool ScaleOut::is_up_or_expected(const Machine& machine) const {
   return is_expected_up(machine) || takes_work(context_, machine);
 }
 
@@ -320,7 +320,7 @@
 double ScaleOut::overpriced_cores(double price_per_core_limit) const {
   double cores = 0;
   for (const auto& [name, machine] : context_.machines.all())
-    if (is_usable(machine) && !scheduler_.has_gang(machine) &&
+    if (is_up_or_expected(machine) && !scheduler_.has_gang(machine) &&
         price_per_core(context_, machine) > price_per_core_limit)
       cores += array_cores(machine);
   return cores;
@@ -328,9 +328,9 @@
 
 // ---------------------------------------------------------------- pools
 
-// The pool with the lowest price per task that fits on a machine. Unresponsive zones rank last, since
-// machines that boot there can't reach this leader. At equal prices, the zone with the fewest machines is
-// chosen, so that the loss of one zone does not take all machines.
+// The pool with the lowest price per task, if each machine runs as many tasks as fit on it. Unresponsive
+// zones rank last, since machines that boot there can't reach this leader. At equal prices, the zone with the
+// fewest machines is chosen, so that the loss of one zone does not take all machines.
 std::optional<CapacityPool> ScaleOut::cheapest_pool(const JobSpec& spec, const PoolCounts& missing,
                                                     const std::string& only_zone) const {
   std::optional<CapacityPool> best;
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -23,8 +23,9 @@
 ///
 /// Gangs are bin-packed into the free capacity of machines that are up, booting or requested; machines are
 /// missing for the tasks that do not fit. The need of arrays is a number of cores: enough for all of them to
-/// finish in time, capped at each team's limit. It rises at once and falls slowly, so that a short lull does
-/// not return machines that would soon have to boot again.
+/// finish in time, capped at each team's limit, or the cores that recent arrivals need on average if those
+/// are more. It rises at once and falls slowly, so that a short lull does not return machines that would soon
+/// have to boot again.
 class ScaleOut {
  public:
   /// The arguments must outlive this object.
@@ -39,8 +40,8 @@
   void log_figures() const;
 
  private:
-  /// Machines that are up or expected, with equal pool and free capacity. They are counted as a group, so
-  /// that the cost of planning does not grow with the number of machines.
+  /// Machines that are up, expected or requested, with equal pool and free capacity. They are counted as a
+  /// group, so that the cost of planning does not grow with the number of machines.
   struct ForecastGroup {
     CapacityPool pool;
     Resources free;
@@ -56,7 +57,7 @@
   void update_needed_cores();
   std::vector<ForecastGroup> forecast_fleet() const;
   bool is_expected_up(const bookkeeping::Machine& machine) const;
-  bool is_usable(const bookkeeping::Machine& machine) const;
+  bool is_up_or_expected(const bookkeeping::Machine& machine) const;
 
   void plan_gangs(Plan& plan);
   void plan_gang(const protocol::JobSpec& spec, Plan& plan);
@@ -82,7 +83,7 @@
   const ZoneHealth& zones_;
   double needed_cores_ = 0;
   double needed_updated_at_ = 0;     ///< steady time of the last update; 0: none yet
-  double array_capacity_cores_ = 0;  ///< cores for arrays on machines up or expected, as of the last plan
+  double array_capacity_cores_ = 0;  ///< cores for arrays on machines up, expected or requested; last plan
   double gang_claimed_cores_ = 0;    ///< the part of them that waiting gangs will take
   std::map<std::string, int> machines_by_zone_;
 };
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -10,10 +10,10 @@
 namespace robinford::coordination {
 
 /// Judges zones by the heartbeats of their machines. A zone becomes unresponsive when most of its machines
-/// that should send heartbeats do not. This verdict ends when one of its machines responds and too few are
-/// silent to confirm it, or `kZoneOutageS` after it was last confirmed, for example because the silent
-/// machines were given up. When most machines of all zones are silent, the fault is taken to be on this
-/// controller's side, and no zone counts as unresponsive.
+/// that should send heartbeats, and at least `kZoneOutageMachinesMin`, do not. This verdict ends when one of
+/// its machines responds and too few are silent to confirm it, or `kZoneOutageS` after it was last confirmed,
+/// for example because the silent machines were given up. When most machines of all zones are silent, the
+/// fault is taken to be on this controller's side, and no zone counts as unresponsive.
 class ZoneHealth {
  public:
   /// `context` must outlive this object.
@@ -24,7 +24,7 @@
   /// Judges all zones by the machines in the ledger. `serving_since_s`: steady time at which this leader
   /// began to serve; the time before it does not count as silence.
   void update(double serving_since_s);
-  /// Whether the zone was unresponsive at the last update.
+  /// Whether the zone is unresponsive by the verdict of the last update.
   bool unresponsive(const std::string& zone) const { return last_unresponsive_at_.contains(zone); }
 
  private:
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -20,7 +20,7 @@
     kRound,            ///< of a placement round; kept for readers of the page, though nothing records it
     kFailover,         ///< from an election to the new leader's first launch
     kHeartbeatAnswer,  ///< from a heartbeat to its answer; on the page, though nothing records it
-    kGrantWait,        ///< from a job's arrival at this controller to its first grant of capacity
+    kGrantWait,        ///< from when a leader learns of a job to its first placement; 0 if a lease covers it
   };
 
   Metrics();
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -27,7 +27,8 @@
   // `leader` is the member that leads as far as this controller knows; empty if none is known.
   void tick(const std::string& leader);
   // Called before a submission is forwarded to `leader`. Grants the part of it that this controller's lease
-  // covers, and sends the grants to the leader ahead of the submission.
+  // covers (all tasks of a gang or none, and nothing to a job with dependencies), and sends the grants to the
+  // leader ahead of the submission.
   void grant_from_lease(const std::string& leader, const std::string& body);
   // Handles the body of another controller's message. Returns false if it can't be decoded.
   bool on_peer_message(const std::string& member, std::uint64_t incarnation, const std::string& body);
--- a/src/coordination/routing/announcement_log.cpp
+++ b/src/coordination/routing/announcement_log.cpp
@@ -22,7 +22,7 @@
   return number;
 }
 
-std::optional<std::uint64_t> AnnouncementLog::number_of(JobId id) const {
+std::optional<std::uint64_t> AnnouncementLog::entry_number(JobId id) const {
   const auto found = numbers_.find(id);
   if (found == numbers_.end()) return std::nullopt;
   return found->second;
--- a/src/coordination/routing/announcement_log.hpp
+++ b/src/coordination/routing/announcement_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A numbered log of the cancellations that this process announced to users.
+/// A numbered log of the cancellations that this process has announced to the other controllers.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,10 @@
 namespace robinford::coordination {
 
 /// Numbers announced cancellations from 1 in the order of announcement, and keeps the last
-/// `kAnnouncedCancellationsMax` of them for members that missed them. A member that lags further can't be
-/// brought up to date by messages: its sequence keeps a gap until it reads the change log.
+/// `kAnnouncedCancellationsMax` of them for members that missed them. A member that lags further can't get
+/// the older ones by message. If it leads, its sequence keeps a gap until a renewal of the leader key
+/// confirms a read of the change log. A follower skips them, because it reads the durable records when it is
+/// elected.
 class AnnouncementLog {
  public:
   /// Consecutive entries of the log.
@@ -29,7 +31,7 @@
   /// Returns the number of the last entry; 0 if there is none.
   std::uint64_t last_number() const { return first_kept_ + jobs_.size() - 1; }
   /// Returns the job's number if the log still contains it.
-  std::optional<std::uint64_t> number_of(protocol::JobId id) const;
+  std::optional<std::uint64_t> entry_number(protocol::JobId id) const;
   /// Returns the entries after `number` that are still in the log, at most `kAnnouncedPerMessageMax` of them.
   /// Requires `number` < `last_number()`.
   Batch batch_after(std::uint64_t number) const;
--- a/src/coordination/routing/cancellations.cpp
+++ b/src/coordination/routing/cancellations.cpp
@@ -55,8 +55,8 @@
 }
 
 bool Cancellations::acknowledged_by_all(JobId id, double now) {
-  record_start_time(now);
-  const auto number = log_.number_of(id);
+  set_started_at_once(now);
+  const auto number = log_.entry_number(id);
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
     if (number && peer.acknowledged >= *number) return true;
@@ -66,7 +66,7 @@
 }
 
 void Cancellations::fill_status(const std::string& member, double now, PeerMessage& status) {
-  record_start_time(now);
+  set_started_at_once(now);
   Peer& peer = peers_.at(member);
   if (peer.probe != 0) peer.last_echo_sent_at = now;
   status.probe = encode_probe(now);
@@ -76,7 +76,7 @@
   status.taken = peer.known;
 }
 
-void Cancellations::record_start_time(double now) {
+void Cancellations::set_started_at_once(double now) {
   if (!started_at_) started_at_ = now;
 }
 
@@ -84,7 +84,8 @@
 
 // A delayed message of an earlier process says nothing about the member's current process. Start times that
 // differ by less than twice the clock error can't be ordered, so such a message is accepted. At worst that
-// clears `announcements_contiguous`, which is set again after a read of the change log.
+// resets the counters and `announcements_contiguous`. The member's later statuses and, on a leader, a
+// confirmed read of the change log restore them.
 bool Cancellations::is_from_earlier_process(const PeerMessage& message) const {
   const auto found = peers_.find(message.member);
   if (found == peers_.end()) return true;
@@ -107,8 +108,8 @@
 void Cancellations::apply_announcements(const PeerMessage& message) {
   if (is_from_earlier_process(message)) return;
   Peer& peer = peer_for_process(message);
-  // A first number beyond the next expected one means that announcements are missing; they are sent again
-  // with a later status.
+  // A first number beyond the next expected one means that announcements are missing. The sender repeats them
+  // with a later status, as long as they are unacknowledged and still in its log.
   if (message.first <= peer.known + 1)
     peer.known = std::max(peer.known, message.first + message.jobs.size() - 1);
 }
@@ -123,8 +124,8 @@
     if (peer.announcements_contiguous && peer.known >= status.announced)
       peer.known_at = std::max(peer.known_at, decode_probe_time(status.echo));
   }
-  // An elected leader reads all durable cancellations, so before its election this controller need not track
-  // missing announcements.
+  // An elected leader reads all durable cancellations, so while this controller does not lead, it need not
+  // track missing announcements.
   if (!leading_) peer.known = std::max(peer.known, peer.announced);
 }
 
@@ -169,10 +170,11 @@
 
 void Cancellations::on_leader_key_renewed(double sent) {
   advance_confirmed_time(sent);
-  // This process still held the leader key when the read began, so no other controller can have made a
-  // cancellation durable without a change-log entry. The read therefore includes everything that a member had
-  // announced before it.
   if (!unconfirmed_read_ || sent < unconfirmed_read_->at) return;
+  // This renewal was sent after the read began, so this process held the leader key then. Only a leader
+  // cancels an accepted job without a change-log entry. So each cancellation that a member had announced
+  // before the read has an entry, which this or an earlier read or the watch included, or was already durable
+  // when this leader loaded the records, or was made by this leader itself.
   for (const auto& [member, at_read] : unconfirmed_read_->counts) {
     Peer& peer = peers_.at(member);
     if (peer.incarnation != at_read.incarnation || peer.incarnation == 0) continue;
--- a/src/coordination/routing/cancellations.hpp
+++ b/src/coordination/routing/cancellations.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Tracks which cancellations were announced to users, and up to which time this controller is certain to
-/// know the announcements of all controllers. This limits how long a leader answers heartbeats:
-/// docs/design.md, "Cancellations".
+/// Tracks which cancellations this controller has announced to the others before it reports them to users,
+/// and up to which time it is certain to know the announcements of all controllers. This limits how long a
+/// leader answers heartbeats: docs/design.md, "Cancellations".
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,11 @@
 /// announcements are known here, and which of this process's announcements that member has acknowledged. All
 /// times are seconds of the steady clock.
 ///
-/// Invariant: this controller knows every cancellation that any controller announced before `known_up_to`.
-/// Two events advance that time: a read of the change log that is followed by a renewal of the leader key,
-/// and a probe that every member has echoed after all of its announcements arrived here.
+/// Invariant: while this controller leads, it knows every cancellation that any controller announced before
+/// `known_up_to`. Two events advance that time. A complete read of the change log advances it to the start of
+/// the read, but not beyond the time at which the last successful renewal of the leader key was sent. Echoes
+/// advance it once every member has echoed a probe while all that it had announced was known here: then to
+/// the earliest sending time of these probes.
 class Cancellations {
  public:
   explicit Cancellations(const protocol::Settings& settings);
@@ -33,8 +35,8 @@
   /// Returns the number of cancellations that this process has announced.
   std::uint64_t announced() const { return log_.last_number(); }
   /// Returns whether no other controller can still answer from in-memory state that lacks the cancellation.
-  /// For each of them, either it has acknowledged the announcement, or the last echo of its probe was sent so
-  /// long ago that it no longer regards its in-memory state as current.
+  /// For each of them, either it has acknowledged the announcement, or this member, including its earlier
+  /// processes, last echoed its probe so long ago that it no longer regards its in-memory state as current.
   bool acknowledged_by_all(protocol::JobId id, double now);
   /// Returns a message with announcements that `member` has not acknowledged; empty if there are none.
   std::optional<protocol::PeerMessage> unacknowledged(const std::string& member) const;
@@ -61,12 +63,14 @@
   /// Called when a renewal of the leader key that was sent at `sent` has succeeded.
   void on_leader_key_renewed(double sent);
 
-  /// Returns the time up to which every announced cancellation is certain to be known here.
+  /// Returns the time before which every announced cancellation is certain to be known here. Valid only while
+  /// this controller leads.
   double known_up_to(double now) const;
   /// Returns when the last complete read of the change log began.
   double change_log_read_up_to() const { return last_read_started_at_; }
-  /// Returns whether answers from the in-memory state are up to date: for each other member, the probe
-  /// whose echo last confirmed its announcements was sent less than `kInMemoryStateFreshS` ago.
+  /// Returns whether this leader may answer from its in-memory state: each other member has echoed a probe
+  /// that was sent less than `kInMemoryStateFreshS` ago, and everything that it had announced when it sent
+  /// the echo is known here.
   bool is_in_memory_state_current(double now) const;
 
   // ---- limits on answering heartbeats ----
@@ -82,8 +86,8 @@
   /// State of another member. The counters refer to its current process.
   struct Peer {
     std::uint64_t incarnation = 0;
-    std::uint64_t announced = 0;            ///< how many cancellations it says that it has announced
-    std::uint64_t known = 0;                ///< number up to which its announcements are known here
+    std::uint64_t announced = 0;  ///< how many cancellations it says that it has announced
+    std::uint64_t known = 0;  ///< number up to which its announcements are known or, by a follower, skipped
     bool announcements_contiguous = false;  ///< those of its earlier processes are known here, too
     double known_at = kNever;               ///< time up to which all its announcements are known here
     std::uint64_t probe = 0;                ///< its last probe, to be echoed in the next status
@@ -101,7 +105,7 @@
     std::map<std::string, AnnouncedCount> counts;  ///< by member
   };
 
-  void record_start_time(double now);
+  void set_started_at_once(double now);
   Peer& peer_for_process(const protocol::PeerMessage& message);
   bool is_from_earlier_process(const protocol::PeerMessage& message) const;
   void advance_confirmed_time(double renewed);
--- a/src/coordination/routing/change_log_entries.hpp
+++ b/src/coordination/routing/change_log_entries.hpp
@@ -14,10 +14,10 @@
  public:
   explicit ChangeLogEntries(std::uint64_t incarnation) : incarnation_(incarnation) {}
 
-  bookkeeping::WriteOp admission(protocol::JobId id) {
+  bookkeeping::WriteOp make_admission_entry(protocol::JobId id) {
     return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/false);
   }
-  bookkeeping::WriteOp cancellation(protocol::JobId id) {
+  bookkeeping::WriteOp make_cancellation_entry(protocol::JobId id) {
     return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/true);
   }
 
--- a/src/coordination/routing/direct_calls.hpp
+++ b/src/coordination/routing/direct_calls.hpp
@@ -17,7 +17,7 @@
 /// Tracks the direct calls that this leader has delegated to followers, and counts the calls that this
 /// controller itself has in flight. Each call costs a connection, so a leader delegates the calls to its
 /// followers in turn and makes a call itself only if there is no follower. The scheduler receives exactly one
-/// result for each call, with status 0 if there was no answer.
+/// result for each call; its status is 0 or its heartbeat is null if there was no usable answer.
 class DirectCalls {
  public:
   DirectCalls(ControllerContext& context, const Election& election, Scheduler& scheduler, PeerTable& peers,
--- a/src/coordination/routing/forwarded_heartbeats.hpp
+++ b/src/coordination/routing/forwarded_heartbeats.hpp
@@ -18,11 +18,13 @@
   /// Caches the heartbeats of at most `capacity` machines.
   explicit ForwardedHeartbeats(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Returns the sequence number of a heartbeat that `leader` has accepted and that differs from this one
-  /// only in its sequence number; empty if the heartbeat has to be forwarded in full.
+  /// Returns the sequence number of an earlier heartbeat that `leader` has accepted and that this one repeats
+  /// under a higher sequence number; the fencing token of this one must be the term of that answer. Empty if
+  /// the heartbeat has to be forwarded in full.
   std::optional<std::uint64_t> unchanged_since(const std::string& leader,
                                                const protocol::Heartbeat& heartbeat) const;
-  /// Stores a heartbeat that the leader of the term has answered with 200.
+  /// Stores a heartbeat that the leader of the term has answered with 200, unless the cache is full and does
+  /// not contain the machine.
   void remember(const std::string& leader, std::uint64_t term, const protocol::Heartbeat& heartbeat);
   /// Removes the machine's heartbeat after the leader refused one, since it may not have stored it.
   void forget(const std::string& machine) { last_.erase(machine); }
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -116,8 +116,9 @@
   read_dependencies(spec, done);
 }
 
-// Reads the records of all dependencies in parallel. The job is refused with 422 only if a dependency is
-// known never to have been accepted.
+// Looks up all dependencies in parallel: on a leader, those that its ledger shows without a final state need
+// no read; all others are looked up in their records. The job is refused with 422 here only if a dependency
+// is known never to have been accepted.
 void JobAdmission::read_dependencies(const JobSpec& spec, const DependenciesChecked& done) {
   struct OpenCheck {
     DependencyVerdict verdict;
@@ -190,7 +191,7 @@
   std::vector<WriteOp> ops{WriteOp{JobLedger::live_key(id), 0, std::move(record)},
                            WriteOp{JobLedger::final_key(id), 0, std::nullopt, true}};
   const Admission admission{spec, draft.submitted_ms, leading(), election_.term()};
-  if (!admission.as_leader) ops.push_back(change_log_entries_.admission(id));
+  if (!admission.as_leader) ops.push_back(change_log_entries_.make_admission_entry(id));
   context_.writer.submit(std::move(ops), [this, admission](WriteOutcome outcome, std::uint64_t mod_revision) {
     on_written(admission, outcome, mod_revision);
   });
--- a/src/coordination/routing/job_admission.hpp
+++ b/src/coordination/routing/job_admission.hpp
@@ -25,15 +25,15 @@
 /// invalid or can never run; if that can't be decided now, the answer is 503.
 class JobAdmission {
  public:
-  /// Called after this process has admitted a job that it did not add to its own ledger, so that the leader
-  /// can be notified before it next reads the change log.
+  /// Called after this process has admitted a job, not recorded as cancelled, that it did not add to its own
+  /// ledger, so that the leader can be notified before it next reads the change log.
   using JobChanged = std::function<void(protocol::JobId)>;
 
   JobAdmission(ControllerContext& context, const Election& election, Scheduler& scheduler,
                const PeerVersions& versions, ChangeLogEntries& change_log_entries, JobChanged job_changed);
 
-  /// Admits or refuses the job. `id` is the job id in the submission. The caller has checked that there is no
-  /// state of the job in memory.
+  /// Admits or refuses the job. `id` is the job id in the submission. The caller has checked that no final
+  /// state of the job is in memory and, on a leader that knows all jobs, that the job is not in its ledger.
   void admit(protocol::JobId id, const protocol::JobParse& submission, const UserReply& reply);
 
  private:
@@ -50,7 +50,7 @@
 
     std::optional<Refusal> refusal;
     bool any_cancelled = false;
-    std::vector<protocol::JobId> unfinished;  ///< dependencies that are not known to be done
+    std::vector<protocol::JobId> unfinished;  ///< dependencies that were accepted and have no final state
   };
   /// An admission whose write is in progress.
   struct Admission {
--- a/src/coordination/routing/job_lookup.hpp
+++ b/src/coordination/routing/job_lookup.hpp
@@ -20,21 +20,24 @@
       kLive,           ///< accepted, without a final state so far
       kFinal,          ///< the job has a final state
       kNeverAccepted,  ///< never accepted: neither of the job's records exists
-      kUnknown,        ///< a read went unanswered, or a record can't be read
+      kUnknown,        ///< a read went unanswered, a record can't be read, or the walk can't be completed
     } record_status = RecordStatus::kUnknown;
     bookkeeping::FinalState state = bookkeeping::FinalState::kDone;  ///< only for kFinal
     bookkeeping::StateRead live;  ///< only for kLive: the record that was read
   };
   using Done = std::function<void(const Result&)>;
 
-  /// `cancelled` is called for each job that a lookup finds to be cancelled, before `Done` of that lookup.
+  /// `cancelled` is called before `Done` of a lookup: for each job whose records show that it is cancelled,
+  /// and for the looked-up job if one of its dependencies is cancelled. It is not called for a job whose own
+  /// final state was already in memory.
   JobLookup(ControllerContext& context, std::function<void(protocol::JobId)> cancelled);
 
   /// Reads the job's own records, without regard to its dependencies.
   void read_own_records(protocol::JobId id, Done done);
   /// Determines the job's state. A job is also cancelled if any of its direct or transitive dependencies is.
   /// Because this is derived from the records, every controller gives the same answer after a cancellation
-  /// without a further write. The result is kUnknown if the walk exceeds `kDependencyWalkReadsMax` jobs.
+  /// without a further write. The result is kUnknown if a dependency was never accepted, or if records would
+  /// have to be read after the first `kDependencyWalkReadsMax` dependencies.
   void read_state_with_dependencies(protocol::JobId id, Done done);
 
  private:
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -44,9 +44,9 @@
 }
 
 // Answers from the leader's ledger once no other controller can have announced a newer state to a user:
-// immediately while all controllers are in contact, otherwise after a read of the change log that all waiting
-// polls share. Reading the job's record for each poll exhausted the state service's limit as soon as one
-// controller was absent.
+// immediately while the in-memory state is known to be current, otherwise after a read of the change log that
+// all waiting requests share. Reading the job's record for each poll exhausted the state service's limit as
+// soon as one controller was absent.
 void JobRequests::answer_as_leader(JobId id, const UserReply& reply) {
   if (context_.cancellations.is_in_memory_state_current(context_.now.steady))
     return answer_from_ledger(id, reply);
@@ -116,7 +116,7 @@
   std::vector<WriteOp> ops{
       WriteOp{JobLedger::final_key(id), 0, JobLedger::final_record(FinalState::kCancelled)},
       WriteOp{JobLedger::live_key(id), live.mod_revision, std::move(cancelled_record)},
-      change_log_entries_.cancellation(id)};
+      change_log_entries_.make_cancellation_entry(id)};
   context_.writer.submit(std::move(ops), [this, id, tries_left, reply](WriteOutcome outcome, std::uint64_t) {
     if (outcome == WriteOutcome::kConflict) return cancel_on_records(id, tries_left - 1, reply);
     if (outcome != WriteOutcome::kDone) return reply(unavailable("not written"));
--- a/src/coordination/routing/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -18,9 +18,11 @@
 namespace robinford::coordination {
 
 /// Executes users' requests: on the leader from its ledger, on any other controller from the records in the
-/// state service. Each reply is called once, at the latest when the calls to the state service have succeeded
-/// or failed. An answer reports durable state, and is never older than one that another controller may have
-/// given: docs/design.md, "Cancellations".
+/// state service. The leader also uses the records for jobs that are not in its ledger, and for waiting jobs
+/// whose dependencies are not settled. Each reply is called once, at the latest when the calls to the state
+/// service have succeeded or failed. An answer reports a job as accepted, done or cancelled only after that
+/// is durable, and is never older than one that another controller may have given: docs/design.md,
+/// "Cancellations".
 class JobRequests {
  public:
   JobRequests(ControllerContext& context, const Election& election, Scheduler& scheduler,
--- a/src/coordination/routing/peer_frames.hpp
+++ b/src/coordination/routing/peer_frames.hpp
@@ -11,9 +11,9 @@
 
 namespace robinford::coordination {
 
-/// Owns one unsent frame for each other controller. Messages are sent together in one frame per tick, because
-/// the cost of a packet exceeds that of its bytes. A frame that reaches `kPeerBatchBytes` is sent
-/// immediately.
+/// Owns one unsent frame for each other controller. Messages are sent together, usually in one frame per
+/// tick, because the cost of a packet exceeds that of its bytes. A frame that reaches `kPeerBatchBytes` and a
+/// frame with a new announcement of a cancellation are sent immediately.
 class PeerFrames {
  public:
   PeerFrames(ControllerContext& context, const Election& election) : context_(context), election_(election) {}
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -29,7 +29,7 @@
   /// Result of processing a status.
   enum class StatusOutcome : std::uint8_t {
     kApplied,
-    kOutdated,  ///< sent by an earlier process than the one known
+    kOutdated,  ///< its incarnation and its term are both lower than the ones known
   };
 
   explicit PeerTable(const protocol::Settings& settings);
@@ -64,7 +64,8 @@
 
  private:
   static constexpr double kNever = -1e9;
-  /// Returns the seconds since the last status of the peer.
+  /// Returns the seconds since the last status of the peer; very large if there was none since its link went
+  /// down.
   static double seconds_since_contact(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
--- a/src/coordination/routing/pending_requests.hpp
+++ b/src/coordination/routing/pending_requests.hpp
@@ -72,7 +72,7 @@
   RequestKey add(PendingRequest request);
   /// Returns the request, which must not have been answered.
   const PendingRequest& at(RequestKey key) const { return requests_.at(key); }
-  /// Returns the request if it waits for that member's answer; null if it does not any longer.
+  /// Returns the request if it waits for that member's answer; null otherwise.
   const PendingRequest* find_forwarded(RequestKey key, const std::string& member) const;
 
   /// Marks the request as served by this controller.
@@ -81,7 +81,8 @@
   void park(RequestKey key);
   /// Marks the request as forwarded to `member`, until `forward_deadline` in steady seconds.
   void forward(RequestKey key, const std::string& member, double forward_deadline);
-  /// Makes the router send the heartbeat in full, because the leader lacks the one that it referred to.
+  /// Makes the router send the heartbeat in full, because the leader lacks the earlier heartbeat that the
+  /// forwarded message referred to.
   void require_full_heartbeat(RequestKey key) { requests_.at(key).full_heartbeat_required = true; }
   /// Moves the heartbeat out of a request that this controller answers.
   protocol::Heartbeat take_heartbeat(RequestKey key) { return std::move(requests_.at(key).heartbeat); }
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -191,8 +191,9 @@
 
 // ---------------------------------------------------------------- answers
 
-// All answers that report a cancellation pass through this function, both those to users and those to
-// controllers that forwarded a user's request. The cancellation is announced to the other controllers first.
+// Every cancellation that this controller itself reports passes through this function, in answers to users
+// and to controllers that forwarded a user's request. It is announced to the other controllers first. Answers
+// of the leader that are only passed on do not pass through here; see record_final_state.
 void RequestRouter::answer_user(RequestKey key, const UserAnswer& reply) {
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -26,10 +26,11 @@
 /// @}
 
 /// Owns the pending requests and answers each of them exactly once, at the latest when its deadline passes. A
-/// leader answers every request that reaches it. Any other controller forwards requests to the leader.
-/// Without a leader that can serve them, users' requests are served here from the records in the state
-/// service, and heartbeats wait for a leader. A forwarded request is served only by a leader and never
-/// forwarded again, because with a chain of forwards it would be unclear which controller answers.
+/// leader with a valid lease answers every request that reaches it, a degraded one at least the heartbeats.
+/// Any other controller forwards requests to the leader. Without a leader that can serve them, or if the
+/// leader does not answer in time, users' requests are served here from the records in the state service.
+/// Heartbeats wait for a leader. A forwarded request is served only by a leader and never forwarded again,
+/// because with a chain of forwards it would be unclear which controller answers.
 class RequestRouter {
  public:
   /// Whether a user's request was added to the pending requests.
