--- a/src/bookkeeping/dependency_graph.hpp
+++ b/src/bookkeeping/dependency_graph.hpp
@@ -13,8 +13,9 @@
 /// Holds the dependencies that are not known to be over, and computes which jobs become ready or are
 /// cancelled when one ends.
 ///
-/// It does no I/O. Its owner reports final states only once they are durable, so that the consequences still
-/// hold after a failover. Invariant: both maps have the same pairs, and no empty sets.
+/// It does no I/O. Its owner reports final states only once they are durable, or implied by the durable
+/// cancellation of a dependency, so that the consequences still hold after a failover. Invariant: both maps
+/// have the same pairs, and no empty sets.
 class DependencyGraph {
  public:
   /// An edge: `dependent` waits for `dependency`.
@@ -32,9 +33,9 @@
   void clear();
   /// Makes `dependent` wait for all of `dependencies`. The call is idempotent.
   void add(JobId dependent, const std::vector<JobId>& dependencies);
-  /// Removes a waiting job and its dependencies.
+  /// Removes a waiting job, with its edges to its dependencies.
   void remove(JobId dependent);
-  /// Handles the durable final state of a job. The jobs in the outcome are removed from the graph.
+  /// Handles the final state of a job. The jobs in the outcome are removed from the graph.
   Outcome finished(JobId id, FinalState state);
 
   /// Whether the job waits for another job.
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -27,10 +27,10 @@
 
 /// State of a task that is, or may be, on a machine.
 enum class RunState : std::uint8_t {
-  kPlanned,   ///< placed; the launch waits for the machine's durable record or for its next heartbeat
+  kPlanned,   ///< placed; the launch is not sent yet, and needs a durable record of the machine
   kLaunched,  ///< the launch was sent, and no heartbeat has shown its outcome
   kPresent,   ///< a heartbeat showed the task
-  kStopping,  ///< a stop command was sent, and the task is not gone yet
+  kStopping,  ///< stop commands are sent until the task is known to be gone
 };
 /// The state's name in log lines.
 const char* to_text(RunState state);
@@ -43,14 +43,16 @@
   protocol::TaskPhase phase = protocol::TaskPhase::kFetching;
   bool seen = false;    ///< a heartbeat has shown this attempt
   bool direct = false;  ///< launched by a direct command, which may take effect late
-  /// Agent epoch and sequence number of the heartbeat whose answer carried the launch.
+  /// Counters of the machine's newest accepted heartbeat when the launch was sent. A launch in a heartbeat
+  /// answer answers that heartbeat.
   std::uint64_t launch_agent_epoch = 0;
   std::uint64_t launch_seq = 0;
-  // Times of the steady clock, in s.
+  // Times of the steady clock, in s. For a task that an earlier leader launched, the first three are the time
+  // at which this leader first saw it.
   double planned_at = 0;
   double launched_at = 0;
   double running_since = 0;
-  double last_stop = -1e9;  ///< when the last direct stop command was sent
+  double last_stop = -1e9;  ///< when this leader last tried to send a direct stop command
   double stop_grace = 0;    ///< s
 };
 
@@ -60,16 +62,18 @@
   std::string machine;
   double made_at = 0;
   double expires_at = 0;
-  bool confirmed = false;  ///< a later heartbeat showed that the capacity is still free
+  bool confirmed = false;  ///< a heartbeat that arrived after the reservation was made was accepted
 };
 
 /// State of a job as the leader sees it.
 enum class JobState : std::uint8_t {
   kWaiting,     ///< accepted; a job that it depends on is not known to be done
-  kActive,      ///< accepted and not over
+  kActive,      ///< waits for no other job; its tasks may be placed
   kCompleting,  ///< all tasks are done; the final record is being written
   kCancelling,  ///< cancelled by its user; the final record is being written
-  kOver,        ///< the final record is durable; kept in memory until no machine holds a task of it
+  /// Its end is durable, or it was cancelled because a job that it depends on was. Kept in memory until no
+  /// machine can hold a task of it and its own cancellation is on record.
+  kOver,
 };
 /// The state's name in log lines.
 const char* to_text(JobState state);
@@ -94,32 +98,38 @@
   JobSpec spec;
   std::uint64_t mod_revision = 0;  ///< of its durable live record
   std::int64_t submitted_ms = 0;
-  double known_at = 0;  ///< when this leader first learned of it
+  double known_at = 0;  ///< when this leader learned of it, or released it if that is later
   JobState state = JobState::kActive;
   FinalState final_state = FinalState::kDone;
 
-  std::int64_t ready_ms = 0;    ///< when its last dependency was done; 0: no dependencies, or still waiting
+  /// When a leader released it after its last dependency was done. 0: no release is known.
+  std::int64_t ready_ms = 0;
   bool ready_on_record = true;  ///< the durable record says that it waits for no dependency
   /// False: cancelled through a dependency and not yet recorded as cancelled.
   bool cancelled_on_record = true;
   /// The highest priority of the jobs that depend on it, directly or indirectly.
   Priority inherited_priority = Priority::kLow;
-  /// The latest time at which it may end so that all jobs that depend on it finish in time.
+  /// The latest time at which it may end so that all jobs that depend on it finish in time by their estimated
+  /// run times. Infinity if none of them has a deadline.
   double inherited_due_ms = std::numeric_limits<double>::infinity();
-  bool before = false;  ///< read from the state service: an earlier leader may have placed tasks of it
-  std::int64_t cancelled_ms = 0;  ///< when it was cancelled, by the clock of the controller that recorded it
+  /// Loaded when this term began, so an earlier leader may have placed tasks of it. False if one of its
+  /// dependencies is known to be unfinished: then it was never released.
+  bool before = false;
+  /// When it was cancelled, by the clock of the controller that recorded it. 0: unknown.
+  std::int64_t cancelled_ms = 0;
   bool cancellation_marked = false;  ///< cancelled, and its live record is marked so
 
   std::vector<bool> done;  ///< by task index
   std::uint32_t done_count = 0;
   std::uint64_t done_version = 0;     ///< grows with each completion
   std::uint64_t durable_version = 0;  ///< value of `done_version` up to which the record has the completions
-  bool writing = false;               ///< a write of its record is in flight
+  bool writing = false;               ///< a write of its live or final record is not answered yet
   double last_write = 0;
 
   std::map<std::uint32_t, TaskRun> runs;  ///< by task index
   std::set<std::uint32_t> again;          ///< tasks to be placed again, ahead of fresh ones
-  std::uint32_t next_fresh = 0;  ///< tasks from this index on were never placed, unless done or in `runs`
+  /// Tasks from this index on are to be placed unless they are done or in `runs`.
+  std::uint32_t next_fresh = 0;
 
   GangState gang = GangState::kQueued;
   std::vector<Reservation> reservations;
@@ -127,19 +137,21 @@
   double gang_since = 0;                     ///< when the current gang state began
   double stop_first = 0;                     ///< when its orderly stop began
   const char* logged_wait_reason = nullptr;  ///< the last logged reason for waiting
-  bool was_placed = false;                   ///< this leader has placed it at least once
+  bool was_placed = false;                   ///< it has had a run or reservation under this leader
   bool queued = false;                       ///< in its team's queue (arrays only)
   double next_preempt_search_at = 0;         ///< earliest time of the next search for preemptible capacity
 
   int failures = 0;  ///< consecutive failures over all machines
   double backoff_until = 0;
-  double quota_freed_until = 0;         ///< until then tasks are preempted to free its team's limit
+  /// Until then no further tasks are preempted to free its team's quota for it.
+  double quota_freed_until = 0;
   std::map<std::string, double> avoid;  ///< machine -> until when the job is not placed there
   std::set<std::string> failed_on;      ///< machines on which a task failed since the last success
-  double first_started_at = 0;          ///< when a task first ran under this leader
-  double run_time_sum_s = 0;            ///< of its completed tasks
+  double first_started_at = 0;          ///< when this leader first saw one of its tasks start to run
+  double run_time_sum_s = 0;            ///< of its completed tasks whose start this leader saw
   int run_time_count = 0;
-  int tier = 0;  ///< arrays: 0 can be in time, 1 can be at most half late, 2 neither
+  /// Arrays: 0 can end in time, 1 can end late by at most half its total time (array_tiers.cpp), 2 neither.
+  int tier = 0;
 
   std::uint32_t remaining() const { return spec.tasks - done_count; }
   /// Number of tasks that are neither done nor on a machine.
@@ -147,14 +159,14 @@
   /// Whether none of its tasks may be placed any more.
   bool over() const { return state != JobState::kActive && state != JobState::kWaiting; }
   Priority priority() const { return std::max(spec.priority, inherited_priority); }
-  /// Time of its submission, or of the end of its last dependency if that is later. Waiting times and
-  /// objectives count from it; the deadline counts from the submission.
+  /// Time of its submission, or of its release after its last dependency was done if that is later. Its age
+  /// in the queue order and in the arrival history counts from it; the deadline counts from the submission.
   std::int64_t eligible_ms() const { return std::max(submitted_ms, ready_ms); }
   /// The next task to place; empty when all are done or placed.
   std::optional<std::uint32_t> next_task() const;
   /// Records that the task was placed.
   void mark_placed(std::uint32_t index);
-  /// Records that the task left its machine; it is placed again unless it is done.
+  /// Makes the task one to be placed again, unless it is done or still in `runs`.
   void requeue_task(std::uint32_t index);
   /// Records that the task is done. The call is idempotent.
   void mark_done(std::uint32_t index);
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -19,9 +19,10 @@
 
 /// Owns the jobs in memory, by id.
 ///
-/// On a leader it holds every job that has a live record, and jobs that are over while a machine may still
-/// hold tasks of them. On other controllers it holds no jobs. Every controller has a bounded cache of final
-/// states.
+/// On a leader it holds the jobs that are not over (those that other controllers admit, once it has read
+/// their live records), and jobs that are over while a machine may still hold tasks of them or their
+/// cancellation is not on record. On other controllers it holds no jobs. Every controller has a bounded cache
+/// of final states.
 class JobLedger {
  public:
   /// Removes the jobs at the end of a leader's term. Final states are immutable and are kept.
@@ -35,7 +36,8 @@
 
   /// The cached final state. Empty if it is not cached; the job may be over all the same.
   std::optional<FinalState> final_state(JobId id) const;
-  /// Caches a durable final state. The oldest entry is evicted above constants::kFinalCacheMax entries.
+  /// Caches a final state that is durable, or implied by the durable cancellation of a dependency. The oldest
+  /// entry is evicted above constants::kFinalCacheMax entries.
   void remember_final(JobId id, FinalState state);
 
   // Shorthands for the functions in job_record.hpp, for callers that do not need the reason of a failure.
@@ -60,7 +62,7 @@
   static std::string live_key(JobId id) { return live_job_key(id); }
   static std::string final_key(JobId id) { return final_job_key(id); }
 
-  // Setters of the three kinds of state. Each change is logged.
+  // Setters of the three kinds of state. Each change is logged (those of runs at level trace).
   static void set_state(Job& job, JobState state);
   static void set_gang_state(Job& job, GangState state, double now);
   static void set_run_state(Job& job, TaskRun& run, RunState state);
--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -16,7 +16,7 @@
 constexpr char kDoneField[] = "done";     // completions as ranges: "0-1,4"
 constexpr char kFinalField[] = "over";
 constexpr char kCancelledField[] = "off";  // time of day of the cancellation, ms
-constexpr char kReadyField[] = "ready";    // time of day of the end of the last dependency, ms
+constexpr char kReadyField[] = "ready";    // time of day at which a leader released the job, ms
 // Completions as hexadecimal digits, task 0 in the lowest bit of the first digit.
 constexpr char kDoneBitsField[] = "bits";
 // Prefix of the zone of a job that waits for dependencies. No machine is in such a zone, so during a rolling
@@ -37,7 +37,7 @@
 };
 
 // Encodes completions as comma-separated ranges "from-to" or single indexes in at most `limit` bytes. Tasks
-// start in order, so there are few ranges.
+// start in order, so there are usually few ranges.
 DoneRanges done_ranges(const Job& job, std::size_t limit) {
   DoneRanges ranges;
   std::uint32_t index = 0;
--- a/src/bookkeeping/job_record.hpp
+++ b/src/bookkeeping/job_record.hpp
@@ -1,10 +1,11 @@
 /// @file
 /// Stateless encoding and decoding of the durable records of jobs.
 ///
-/// The live record holds the description of the job, its submission time and its completed tasks; the final
-/// record holds how it ended. Fields must keep their names and order, because older versions read and rewrite
-/// the same records during a rolling upgrade (docs/design.md, "Rolling upgrade").
-/// tests/recorded_bytes_test.cpp checks this.
+/// The live record holds the description of the job, its submission time, its completed tasks and, if there
+/// was one, the time of its release after its dependencies and of its cancellation; the final record holds
+/// how it ended. Fields must keep their names and order, because older versions read and rewrite the same
+/// records during a rolling upgrade (docs/design.md, "Rolling upgrade"). tests/recorded_bytes_test.cpp checks
+/// this.
 #pragma once
 
 #include <boost/json.hpp>
@@ -36,11 +37,12 @@
 };
 
 /// Encodes the live record in at most `limit` bytes, with as many completions as fit. The record exceeds the
-/// limit if the description alone does.
+/// limit if it does so without any completions.
 EncodedJob encode_job(const Job& job, std::size_t limit);
 
 /// Decodes a live record that the state service returned at `mod_revision`. A record marked as cancelled
-/// yields a job that is over. Malformed completions are left out, so those tasks run again and end at once.
+/// yields a job that is over. Completions are read up to the first malformed one; tasks whose completion is
+/// left out run again and end at once.
 /// @param now time of the steady clock, in s
 boost::system::result<std::unique_ptr<Job>, JobRecordError> decode_job(const boost::json::value& value,
                                                                        std::uint64_t mod_revision,
--- a/src/bookkeeping/launch_guard.hpp
+++ b/src/bookkeeping/launch_guard.hpp
@@ -18,11 +18,11 @@
   /// promised to other jobs of the team.
   virtual bool permits(const protocol::JobSpec& spec, std::uint32_t tasks, double used_cpus, double used_gpus,
                        double kept_cpus) = 0;
-  /// Whether the job was granted quota before the leader considered it.
+  /// Whether the job holds a grant of quota that another controller made from its lease.
   virtual bool granted(protocol::JobId job) const = 0;
-  /// Called when tasks of the job were placed.
+  /// Called when tasks of the job are placed, or capacity is reserved for them.
   virtual void charged(const protocol::JobSpec& spec, std::uint32_t tasks) = 0;
-  /// Called when placed tasks of the job are gone.
+  /// Called when placed tasks of the job are gone, or their reservations are released.
   virtual void refunded(const protocol::JobSpec& spec, std::uint32_t tasks) = 0;
 };
 
--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -21,11 +21,13 @@
 
 /// State of a machine as the leader sees it.
 enum class MachineState : std::uint8_t {
-  kBooting,       ///< provisioned or listed; has never sent a heartbeat to this leader
+  kBooting,       ///< known, but this leader has not accepted a heartbeat from it
   kUp,            ///< sends heartbeats
-  kUnresponsive,  ///< expected to send heartbeats but does not
-  kReturning,     ///< its return was decided; its tasks count until the cloud confirms it
-  kGone,          ///< the cloud confirmed the return
+  kUnresponsive,  ///< expected to send heartbeats but does not, or read from a record as unanswered
+  /// Its return was decided. Its tasks count until they are known to be gone, at the latest when the cloud
+  /// confirms the return.
+  kReturning,
+  kGone,  ///< the cloud confirmed the return
 };
 /// The state's name in log lines.
 const char* to_text(MachineState state);
@@ -36,7 +38,8 @@
   std::uint64_t attempt = 0;
 };
 
-/// A machine that exists or may exist. Names ending in `_ms` are times of day in ms, other times those of the
+/// A machine that exists or may exist, or one in state kGone, which stays in the ledger for
+/// constants::kGoneMachineKeptS. Names ending in `_ms` are times of day in ms, other times those of the
 /// steady clock in s.
 ///
 /// Invariants: `tasks` are exactly the runs of the job ledger on this machine, and `reservations` the gangs
@@ -100,23 +103,27 @@
   bool unanswered_on_record = false;
   std::string record;         ///< the record that names it or is to name it; empty: none is assigned yet
   std::string former_record;  ///< also names it until `record` durably does
-  bool recorded = false;      ///< a durable record names it with its address
-  std::string recorded_addr;  ///< address in that record
+  bool recorded = false;      ///< durable records name it with an address and not as unanswered
+  std::string recorded_addr;  ///< address in these records
   /// Whether `free_resources` is up to date with tasks, reservations and unknown tasks.
   bool free_resources_known = false;
   Resources free_resources;
 
   std::set<JobId> error_jobs;  ///< jobs with a failed task here since the last success
   int errors = 0;
-  int undelivered_commands = 0;         ///< consecutive commands that newer heartbeats show as never received
+  /// Consecutive launches that newer heartbeats show as never received. A restart of its agent soon after an
+  /// answer counts as constants::kUndeliveredCommandsMax of them.
+  int undelivered_commands = 0;
   int unproven_answers = 0;             ///< consecutive answers after which it does not show the token
   double last_probe_at = -1e9;          ///< time of the last direct command or probe
   int open_probes = 0;                  ///< direct commands and probes in flight
-  int probe_failures = 0;               ///< consecutive failures
+  int probe_failures = 0;               ///< consecutive failures of direct commands and probes
   std::uint64_t agent_epoch_guess = 1;  ///< used to probe a machine that has not shown the token
-  /// Its counters went back. Only the cloud's confirmation of its return ends its tasks.
+  /// Its counters went back. An expired lease then does not end its tasks; the cloud's confirmation of its
+  /// return does.
   bool agent_reset = false;
-  bool offered = false;   ///< its free capacity was offered to the waiting gangs since it last increased
+  /// Its free capacity was offered to the waiting gangs since a run or reservation on it last ended.
+  bool offered = false;
   bool cordoned = false;  ///< accepts no new work
   // Core seconds by kind of use, for the log line when the machine is gone.
   double useful = 0;
@@ -129,13 +136,13 @@
   std::map<std::string, double> images;  ///< time of the last use by image
 };
 
-/// The machines of one durable record. A record names several, so that one write covers a whole provisioning
+/// The machines of one durable record. A record names several, so that few writes cover a whole provisioning
 /// request.
 struct MachineGroup {
   std::uint64_t mod_revision = 0;  ///< 0: the record does not exist
   bool writing = false;
-  bool urgent = false;    ///< the record must be written for a machine that launches wait for
-  bool outdated = false;  ///< the record names a machine that is gone, or lacks an address
+  bool urgent = false;    ///< the record must be written, and launches or heartbeat answers wait for it
+  bool outdated = false;  ///< the record must be written, and nothing waits for it
   double last_write = -1e9;
   std::set<std::string> members;
   std::set<std::string> leaving;  ///< still named by this record, not yet by their new one
--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -197,7 +197,8 @@
   groups_[group].members.insert(machine.name);
 }
 
-// Keeps the machine in the record by size, which is written again before the other record may be deleted.
+// Assigns a machine that two records name to the record by size, or to `group` if both are. That record is
+// written again before the other one may be deleted.
 void MachineLedger::name_by_second_record(Machine& machine, const std::string& group) {
   const std::string former = is_numbered(group) ? group : machine.record;
   if (!is_numbered(group)) set_record(machine, group);
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -17,8 +17,9 @@
 
 /// How machines are assigned to records. Section "Limits of the state service" of docs/design.md.
 enum class RecordLayout : std::uint8_t {
-  kByNumber,  ///< by the number in their name; the only layout that versions without dependencies read
-  kBySize,    ///< as many per record as fit the size limit of a value
+  /// By the number in their name. The only layout that versions without support for dependencies read.
+  kByNumber,
+  kBySize,  ///< as many per record as fit the size limit of a value
 };
 
 /// Owns the machines in memory by name and assigns each to a record. It does no I/O: the leader writes the
@@ -44,7 +45,8 @@
   static bool newer(const Machine& machine, std::uint64_t agent_epoch, std::uint64_t seq) {
     return agent_epoch > machine.agent_epoch || (agent_epoch == machine.agent_epoch && seq > machine.seq);
   }
-  /// Sets a machine's state and logs the change. States of known machines are changed only here.
+  /// Sets a machine's state and logs the change. The state is changed only here and in read_group(), which
+  /// sets machines listed as unanswered to kUnresponsive without logging it.
   static void set_state(Machine& machine, MachineState state);
 
   /// Switches to the layout by size, with records of at most `limit` bytes. Machines move out of the numbered
@@ -69,15 +71,17 @@
   void set_unanswered(Machine& machine, std::int64_t since_ms);
   /// Allows its heartbeats to be answered again as soon as its record says so.
   void clear_unanswered(Machine& machine);
-  /// The value that the leader of `term` writes for the group. Adds to `launchable` the machines on which
-  /// tasks may be launched once it is written. A machine listed as unanswered counts as recorded so at once.
-  /// If that entry exceeds the size limit, the machine stops being unanswered, and a later leader computes
-  /// its lease from the beginning of its own term, which takes longer.
+  /// The value that the leader of `term` writes for the group. Adds to `launchable` the machines that it
+  /// does not list as unanswered; on those with an address, tasks may be launched once it is written. A
+  /// machine listed as unanswered counts as recorded so at once. If that mark exceeds the size limit of the
+  /// layout by size, the machine stops being unanswered, and a later leader computes its lease from the
+  /// beginning of its own term, which takes longer.
   boost::json::object group_record(const std::string& group, std::uint64_t term,
                                    std::vector<std::string>& launchable);
   /// Adds the machines of a record, as unreconciled if they have an address. Unanswered marks that leaders of
   /// terms before `trusted_since` wrote are ignored: one of them may have answered without recording it.
-  /// Returns false if the record or one of its entries is malformed; the other entries are read all the same.
+  /// Returns false if the record is malformed, or one of its entries is malformed or belongs to another
+  /// record by number; the other entries are read all the same.
   bool read_group(const std::string& group, std::uint64_t mod_revision, const boost::json::value& value,
                   double now, std::uint64_t trusted_since);
 
--- a/src/bookkeeping/quota.hpp
+++ b/src/bookkeeping/quota.hpp
@@ -34,7 +34,7 @@
   }
   /// Sets a second check that is consulted before each placement and notified of each charge. May be null.
   void set_guard(LaunchGuard* guard) { guard_ = guard; }
-  /// Whether the guard has granted quota to the job.
+  /// Whether the job holds a grant of quota, according to the guard.
   bool granted(protocol::JobId job) const { return guard_ != nullptr && guard_->granted(job); }
 
   /// Charges tasks or reservations of the job.
@@ -59,7 +59,7 @@
   bool within_guarantee(const JobSpec& spec, std::uint32_t tasks) const;
   /// Cpus left up to the team's limit; 0 for an unknown team.
   double left(const std::string& team) const;
-  /// The team's usage divided by its share, for comparison between teams.
+  /// The team's usage (cpus plus gpus) divided by its share, for comparison between teams.
   double share_used(const std::string& team, double share) const;
 
   /// Recomputes the running accounts from the runs, reservations and unknown tasks.
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -84,8 +84,8 @@
 
 void StateClient::send_queued() {
   while (!normal_queue_.empty()) {
-    // The caller has given up by now. Without this, a flood of polls would spend the budget on unused
-    // answers.
+    // The caller has probably given up by now. Without this, a flood of polls would spend the budget on
+    // unused answers.
     if (now_ - normal_queue_.front().since > constants::kStateCallTimeoutS) {
       const auto answered = std::move(normal_queue_.front().answered);
       normal_queue_.pop_front();
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -25,8 +25,8 @@
 ///    committed or may still be; TxnWriter resolves that. An answer after the timeout is dropped.
 ///  - A call that the service refuses (429, 503) was not carried out. A 429 also reduces the pace of this
 ///    controller for a time.
-///  - A call that is refused here, because the queue is full or the call has waited longer than its caller
-///    does, is never sent and gets status 429 at a later tick().
+///  - A call that is refused here, because its queue is full or a kNormal call has waited in it for longer
+///    than constants::kStateCallTimeoutS, is never sent and gets status 429 at a later tick().
 /// Times are those of the steady clock, in s.
 class StateClient {
  public:
@@ -40,10 +40,10 @@
   enum class Urgency {
     /// Never queued; may overdraw the budget, because leadership depends on it.
     kLease,
-    /// Sent before all others except kLease. Used by a new leader, since no jobs are served until it is
-    /// ready.
+    /// Sent before queued calls of kNormal. Used by candidates and new leaders, since no jobs are served
+    /// until a leader is ready, and by list().
     kFirst,
-    /// Sent in order of arrival, except that writes may overtake queued reads.
+    /// Sent in order of arrival, except that writes that the budget covers may overtake queued calls.
     kNormal,
   };
   /// Makes a call. `writes` is the number of keys that it changes, which counts against the write budget;
@@ -65,13 +65,14 @@
   /// limits.
   std::uint64_t rejected() const { return rejected_; }
   std::uint64_t throttled() const { return throttled_; }
-  /// Share of this controller's budget that is in use, up to 1. A 429 of the service reduces it.
+  /// Factor on the rates of this controller's budget, at most 1. A 429 of the service reduces it for a time.
   double pace() const { return pace_; }
 
-  /// Whether an answer other than 503 arrived within constants::kStateReachableS.
+  /// Whether a call other than a watch was answered with a status other than 503 within the last
+  /// constants::kStateReachableS.
   bool reachable(double now) const;
-  /// Whether the budget covers a call with this many writes at once.
-  bool writes_ready(int writes) const {
+  /// Whether a call with this many writes, at least one, would be sent at once.
+  bool can_send_writes_now(int writes) const {
     return writes_.covers(writes) && requests_.covers(1) && urgent_queue_.empty();
   }
 
--- a/src/bookkeeping/state_replies.hpp
+++ b/src/bookkeeping/state_replies.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Typed answers of the state service to reads, lists and watches.
 ///
-/// These calls change nothing, so they may be retried whenever the answer is missing. A malformed answer
-/// counts as missing.
+/// These calls change nothing, so they may be retried whenever the answer is missing. A 200 answer that is
+/// not a JSON object counts as missing.
 #pragma once
 
 #include <boost/json.hpp>
--- a/src/bookkeeping/store_keys.hpp
+++ b/src/bookkeeping/store_keys.hpp
@@ -26,33 +26,38 @@
 /// calling the cloud. Written, guarded, by the leader once per term.
 inline constexpr char kCatalogKey[] = "cat";
 
-/// One record for each job that is accepted and not over (job_record.hpp). Created by the controller that
-/// admits the job, on condition that neither the live nor the final record exists. Rewritten and deleted,
-/// guarded, by the leader; another controller may only mark it cancelled, together with the final record.
-/// Sections "What was added" and "Cancellations".
+/// One record for each job that is accepted and not over, and for each cancelled job of which a machine may
+/// still hold tasks (job_record.hpp). Created by the controller that admits the job, on condition that
+/// neither the live nor the final record exists. Rewritten and deleted, guarded, by the leader; another
+/// controller may only mark it cancelled, together with the final record. Sections "What was added" and
+/// "Cancellations".
 inline constexpr char kLiveJobPrefix[] = "j/";
 
-/// One record for each job that is over, with its final state. Created on condition that none exists, by the
-/// leader or by a controller that cancels the job. Never changed or deleted, so that a finished job cannot be
+/// One record for each job that is over, with its final state; that of a job that was cancelled through a
+/// dependency may be written later. Created on condition that none exists, by the leader or by a controller
+/// that cancels the job or admits it as cancelled. Never changed or deleted, so that a finished job cannot be
 /// admitted again.
 inline constexpr char kFinalJobPrefix[] = "f/";
 
 /// Machines that may exist, several per record (machine_record.hpp). Written and deleted, guarded, only by
-/// the leader. Nothing is launched on a machine before its record names it with its address. Sections "What
+/// the leader. Nothing is launched on a machine before its record names it with an address. Sections "What
 /// was added" and "Limits of the state service".
 inline constexpr char kMachinePrefix[] = "m/";
 
-/// The change log: one entry for each change to a job by a controller other than the leader, created in the
-/// same transaction as the change. Keys are unique by incarnation and sequence number. Deleted, guarded, by
-/// the leader after it has processed the entry. Section "Cancellations".
+/// The change log: one entry for each live record that a controller other than the leader creates, or that is
+/// marked cancelled other than through the leader's ledger. Created in the same transaction as the change.
+/// Keys are unique by incarnation and sequence number. Deleted, guarded, by the leader: at once if the entry
+/// is older than the job records that it loads, since they contain the change, otherwise when it handles the
+/// entry. Section "Cancellations".
 inline constexpr char kChangeLogPrefix[] = "n/";
 
-/// One record for each member: the feature level and incarnation of its running process. Written by that
-/// process, which retries until a write succeeds. Section "Rolling upgrade".
+/// One record for each member: the feature level and incarnation of its running process, and whether it
+/// serves quota leases. Written by that process, which retries until a write succeeds. Section "Rolling
+/// upgrade".
 inline constexpr char kPeerVersionPrefix[] = "v/";
 
 /// One record for each slice of a quota lease (quota/lease_record.hpp). Written and deleted, guarded, by the
-/// leader as lessor; a grant counts only after its slice is durable. Section "Quota leases".
+/// leader as lessor; a lessee is told of more quota only after its slice is durable. Section "Quota leases".
 inline constexpr char kLeaseRecordPrefix[] = "q/";
 
 /// Key of a job's live record.
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -20,7 +20,8 @@
 constexpr char kMarkField[] = "w";
 constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, apart from its key and value
 constexpr std::size_t kKeysInOp = 2;   // both the condition and the change contain the key
-constexpr std::size_t kBackgroundQueueDivisor = 4;  // background units may fill this fraction of the queue
+// Background units are refused once the queue has reached its limit divided by this.
+constexpr std::size_t kBackgroundQueueDivisor = 4;
 
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
@@ -122,7 +123,7 @@
   while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlightMax && !queue_.empty()) {
     auto batch = take_batch();
     if (batch.units.empty()) return;
-    if (!state_.writes_ready(static_cast<int>(batch.ops))) return requeue(batch.units);
+    if (!state_.can_send_writes_now(static_cast<int>(batch.ops))) return requeue(batch.units);
     send(std::move(batch.units));
   }
 }
@@ -293,7 +294,7 @@
 }
 
 void TxnWriter::on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read) {
-  // Still unresolved: the retry fails its conditions again and returns here.
+  // Still unresolved: if the conditions of the retry fail again, the unit is settled once more.
   if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
   bool carried_out = deleting && read.found == StateRead::Found::kNo;
   if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -23,14 +23,16 @@
 struct WriteOp {
   std::string key;
   std::uint64_t expect = 0;  ///< mod revision that the key must have; 0: the key must not exist
-  std::optional<boost::json::object> value;  ///< empty: delete the key
+  std::optional<boost::json::object> value;  ///< empty: delete the key, unless `compare_only`
   bool compare_only = false;                 ///< checks the condition and changes nothing
 };
 
 /// Outcome of a unit.
 enum class WriteOutcome {
-  kDone,      ///< committed, at the given revision
-  kConflict,  ///< a condition did not hold, and this unit changed nothing
+  kDone,  ///< committed, at the given revision (0 after a settling read that found the key deleted)
+  /// A condition did not hold. The unit changed nothing, unless an unanswered attempt was committed and
+  /// another writer has since replaced the value that showed it.
+  kConflict,
   /// The guard (leadership) was lost. Whether the unit was committed is unknown; the next leader reads it.
   kLost,
   /// Never sent, because the queue is full or the unit has too many changes, or rejected by the service.
@@ -68,7 +70,8 @@
 /// A retry is safe: if the unit was already committed, its conditions fail at the retry. The settling read
 /// then shows whose change the key holds, by a random mark that each written value carries. Apart from the
 /// guard's key, no two transactions in flight name the same key. Units that share a key are sent in the order
-/// of arrival within a priority. Times are those of the steady clock, in s.
+/// of arrival within a priority, except that a settling unit does not hold back later ones. Times are those
+/// of the steady clock, in s.
 class TxnWriter {
  public:
   TxnWriter(const protocol::Settings& settings, StateClient& state, std::mt19937_64& random);
@@ -76,7 +79,8 @@
   /// Adds a condition to each unit submitted from now on: `key`, the leader key, still has this mod revision.
   /// It keeps a former leader from changing anything. `lost` is called when the condition fails.
   void set_guard(std::string key, std::uint64_t mod_revision, std::function<void()> lost);
-  /// Removes the guard. Queued units that were submitted under it end as kLost.
+  /// Removes the guard. Queued units that were submitted under it end as kLost. Also resumes sending if it
+  /// was paused.
   void clear_guard();
 
   /// Queues a unit. `written` is called exactly once: before this returns if the unit is refused here,
