--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -83,7 +83,7 @@
   /// heartbeat has shown that they are gone.
   std::map<JobId, double> overdue;
   std::vector<PendingClear> clears;
-  /// Tasks in its last heartbeat that the leader does not want there. They are to be stopped.
+  /// Tasks in its last heartbeat that should not run there. They are to be stopped.
   std::vector<protocol::TaskStatus> unknown_tasks;
   /// What these tasks charge to each team: cpus, gpus.
   std::map<std::string, std::pair<double, double>> unknown_task_charge;
--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -22,8 +22,8 @@
 inline constexpr double kLeaseRenewalsPerTtl = 4;
 /// Retry delay after a failed read of the lease records.
 inline constexpr double kLeaseLoadRetryS = 0.5;
-/// Delay before a reduced lease is written, during which its record may show more than is leased. Also
-/// the delay before a failed write is retried.
+/// Delay before a reduced or closed lease is written, during which its record may show more than is leased.
+/// Also the delay before a failed write is retried.
 inline constexpr double kLazyRecordWriteS = 5.0;
 /// Bytes of a part in a record apart from its team's name: three numbers, brackets and commas.
 inline constexpr std::size_t kLeasePartOverheadBytes = 64;
@@ -31,8 +31,8 @@
 inline constexpr std::size_t kLeaseRecordOverheadBytes = 128;
 /// Characters of the last segment of a record's key, including its slash.
 inline constexpr std::size_t kSliceSuffixCharsMax = 7;
-/// Outstanding grants of one lessee. Further jobs get no grant. A lessee with as many unacknowledged
-/// refunds gets no new ones either.
+/// Outstanding grants of one lessee. Further jobs get no grant. The lessor also registers no more grants of
+/// a lessee that has not acknowledged this many refunds.
 inline constexpr std::size_t kGrantsMax = 20'000;
 /// Grants or refunds in one message, to stay within the size limit of a frame.
 inline constexpr std::size_t kGrantsPerMessageMax = 500;
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -95,9 +95,9 @@
 }
 
 // Seconds that the machine may stay idle, unless the policy sets a number: `kIdleReturnBoots` boot times of
-// its type while work for it arrives, otherwise `kIdleReturnS`. Keeping an idle machine for as long as its
-// replacement would take to boot, which is one boot time, costs at most twice as much as the best choice in
-// hindsight.
+// its type while work for it arrives, otherwise `kIdleReturnS`. A limit of one whole boot time, the time
+// that a replacement would take, would cost at most twice as much as the best choice in hindsight;
+// `kIdleReturnBoots` is lower, so that bound does not hold for it.
 double ScaleIn::idle_limit_s(const Machine& machine, const FleetView& view) const {
   if (context_.policy.idle_return_s >= 0) return context_.policy.idle_return_s;
   const auto type = context_.types.find(machine.type);
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -155,7 +155,7 @@
   read("");
 }
 
-// Reads the entries whose keys follow `after`. A complete read and a renewal of the leader key together prove
+// Reads the entries whose keys follow `after`. A complete read and a renewal of the leader key together show
 // up to which time all cancellations by other controllers are known here. The entries are deleted when
 // the watch reports them.
 void ChangeLog::read(const std::string& after) {
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -17,8 +17,8 @@
 
 /// The leader's reader of the change log. It watches for entries, and also reads the whole log about once a
 /// second: a watch that gets no usable answer reports no entries, while a read shows which ones exist.
-/// Requests that need such a proof start a read as soon as the rate limit allows. Owns the list of entries
-/// whose deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
+/// Requests that need a new read start one as soon as the rate limit allows. Owns the list of entries whose
+/// deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
 class ChangeLog {
  public:
   /// Callbacks for the changes on which the leader acts.
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -67,8 +67,9 @@
   requeue_gangs_reserving_on(machine);
 }
 
-// Applies a worker's answer that carries this leader's token. It proves as much as a heartbeat, except that a
-// launch in the answer to the worker's last own heartbeat may still be in flight.
+// Applies a worker's answer that carries this leader's token. It is treated like a heartbeat, except
+// that a task missing from it may still start: a launch in the answer to the worker's last own heartbeat may
+// still be in flight.
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
   if (!machine.showed_token || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
     apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
@@ -95,8 +96,8 @@
   }
 }
 
-// Checks the gangs with reservations on the machine, and launches those whose reservations are now all
-// confirmed.
+// Advances the gangs with reservations on the machine: launches those whose reservations are now all
+// confirmed, and queues those again whose reservations have expired.
 void Scheduler::advance_gangs_reserving_on(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: launching changes the list
   for (const auto id : holders)
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -115,7 +115,7 @@
   // No heartbeat has listed the run yet. A direct launch may still be carried out while the agent epoch that
   // it was addressed to lasts. A launch in a heartbeat answer has failed once the worker itself sends a
   // heartbeat newer than the answered one, because the worker takes or discards an answer before it sends its
-  // next heartbeat. The answer to a direct command does not prove this, since the launch may still be in
+  // next heartbeat. The answer to a direct command does not imply this, since the launch may still be in
   // flight.
   const bool launch_failed = run.direct ? machine.agent_epoch > run.launch_agent_epoch
                                         : context.source == HeartbeatSource::kWorker &&
--- a/src/quota/allotter.hpp
+++ b/src/quota/allotter.hpp
@@ -25,8 +25,8 @@
 // Returns by how much each member's part grows. All growth together stays within `available` and within the
 // share of the limit that may be leased. Capacity up to the guarantee is allotted in full, capacity beyond it
 // only by half at each call. If the capacity does not meet all demand, each member gets a share proportional
-// to its unmet demand. A part grows by at least an eighth of its size, so that sizes do not follow each small
-// change of demand; members with a smaller growth are left out.
+// to its unmet demand. For CPUs or for GPUs, a part grows by at least one whole unit and an eighth of its
+// size, so that sizes do not follow each small change of demand; members with a smaller growth are left out.
 std::map<std::string, Amount> allot(const TeamBudget& budget,
                                     const std::map<std::string, MemberDemand>& members);
 
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -45,7 +45,7 @@
   // From the lessee; a message with the same or an earlier probe is a late duplicate.
   std::uint64_t last_probe = 0;
   std::uint64_t grants_taken = 0, refunds_made = 0;
-  std::deque<Refund> refunds;  // issued refunds that the lessee has not confirmed
+  std::deque<Refund> refunds;  // issued refunds that the lessee has not acknowledged
   std::map<std::string, PartEntry> parts;
   double next_growth = 0;
 };
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -2,9 +2,9 @@
 // the leader.
 //
 // Invariant: for each team, the capacity promised by outstanding grants is at most the part that the lessee
-// holds, and that part is at most what the lessor counts as leased to it. Every grant checks the current time
-// against the lease's end, so that a process that was suspended grants nothing from a lease that may have
-// expired by the lessor's clock.
+// holds, and while the lease is valid, that part is at most what the lessor counts as leased to it. Every
+// grant checks the current time against the lease's end, so that a process that was suspended grants nothing
+// from a lease that may have expired by the lessor's clock.
 #pragma once
 
 #include <cstdint>
@@ -49,11 +49,11 @@
   Lessee(const LeaseOptions& options, std::uint64_t incarnation);
 
   // Promises capacity to a newly submitted job: for a gang all tasks or none, for an array as many tasks as
-  // the part covers. Returns nothing if the job has a grant already, depends on other jobs, or cannot be
-  // covered by a valid lease.
+  // the part covers. Returns nothing if the job has a grant already or depends on other jobs, if no valid
+  // lease covers the gang or at least one task, or if too many grants are outstanding.
   std::optional<NewGrant> grant(const protocol::JobSpec& spec, double now);
-  // Gives up idle capacity of parts without a request for `idle_return_s`, and notes an expired lease. Call
-  // it periodically.
+  // Gives up the idle capacity of parts that had no request and did not grow for `idle_return_s`, and notes
+  // an expired lease. Call it periodically.
   void tick(double now);
   // Builds a renewal request: all parts and demands, and the grants that the lessor has not acknowledged (as
   // many as one message holds).
@@ -73,7 +73,7 @@
   std::size_t outstanding() const { return grants_.size(); }
   const std::map<protocol::JobId, Grant>& grants() const { return grants_; }
   Amount held(const std::string& team) const;
-  // Capacity held in the lease, and promised of it, summed over the teams.
+  // Capacity held in the lease, and promised from it, summed over the teams.
   Amount held() const;
   Amount promised() const;
   const Counters& counters() const { return counters_; }
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -66,8 +66,8 @@
 
 std::uint64_t Lessor::next_epoch() { return (term_ << c::kAttemptCounterBits) | ++epochs_; }
 
-// The moment after which no lessee that received its last reply by `now` still considers its lease valid,
-// within the allowed drift of both clocks.
+// The time after which a lease last renewed by a reply sent at `now` is no longer valid at the lessee, within
+// the allowed drift of both clocks.
 double Lessor::lease_end(double now) const {
   return now + options_.ttl_s * (1 + c::kClockDrift) + c::kLeaseMarginS;
 }
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -4,8 +4,9 @@
 // Invariant, for each team and resource: the capacity of tasks that run or may run, plus the capacity that
 // outstanding leases still permit, is at most the team's limit. To keep it, a part is enlarged in memory
 // first, then in the durable record, and only then in a message to the lessee. A part shrinks only when the
-// lessee reports a smaller size for the current revision, or when the lease has expired by every clock.
-// Capacity whose state is unknown counts as used.
+// lessee reports a smaller size for the current revision. It is removed only with its lease: when the lease
+// has expired by every clock, or when a message shows that the lessee process was restarted or holds a later
+// lease. Capacity whose state is unknown counts as used.
 #pragma once
 
 #include <boost/json.hpp>
@@ -68,7 +69,7 @@
     std::uint64_t grants_taken = 0;    // lessee grants that were registered
     std::uint64_t grants_refused = 0;  // lessee grants refused: job over or granted, or no part covers it
     std::uint64_t refunds = 0;         // refunds issued because a job no longer needs its grant
-    std::uint64_t revoked_tasks = 0;   // granted tasks that did not start and were revoked for waiting jobs
+    std::uint64_t revoked_tasks = 0;   // granted tasks that were not placed and were revoked for waiting jobs
     std::uint64_t recalls = 0;         // requests to a lessee to return capacity of a part
     std::uint64_t leases_opened = 0, leases_expired = 0, leases_superseded = 0;
     std::uint64_t growths = 0, writes = 0, write_conflicts = 0;
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -7,8 +7,9 @@
 
 namespace robinford::quota {
 
-// Revokes granted tasks that have not started for `grant_idle_s` while other jobs of the team wait. Otherwise
-// a granted job that fits on no machine would keep them from starting.
+// Revokes the tasks of a grant that are not placed, if other jobs of the team wait for leased capacity and
+// the number of the granted job's placed tasks has not changed for `grant_idle_s`. Otherwise a granted job
+// that fits on no machine would keep the other jobs from starting.
 void Lessor::revoke_idle_grants(double now) {
   std::vector<std::pair<protocol::JobId, std::uint32_t>> idle;
   for (const auto& [job, grant] : ledger_.grants())
@@ -80,8 +81,8 @@
 
 void Lessor::grow_team(const std::string& team, const std::set<std::string>& members, double now) {
   const auto limit = limit_of(team);
-  // No part of the team grows while a job waits for its leased capacity, or while a malformed record may
-  // stand for a lease.
+  // No part of the team grows while one of its jobs waits for leased capacity, or while a malformed record
+  // may stand for a lease.
   if (limit.unlimited || !claims_.empty(team) || now < unreadable_until_) return;
   TeamBudget budget;
   budget.guarantee = limit.guarantee;
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -20,7 +20,7 @@
   put_varint(out, static_cast<std::uint64_t>(std::max<std::int64_t>(0, amount.gpus)));
 }
 
-// Reads fields from the front. After the first malformed field, every later read fails too.
+// Reads fields from the front. After the first malformed field, `good` stays false.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -2,9 +2,9 @@
 // grants leases), carried as the body of a peer frame.
 //
 // A *lessor incarnation* begins whenever a lessor has loaded the lease records. The lessee numbers its grants
-// and the lessor its refunds, both from 1 within a lessor incarnation. Each side resends what the other has
-// not acknowledged and ignores numbers out of sequence, so each grant and refund takes effect once and in
-// order.
+// and the lessor its refunds. Both numberings start from 1 again with a new lessor incarnation and with a new
+// lease. Each side resends what the other has not acknowledged and ignores numbers out of sequence, so each
+// grant and refund is processed once and in order.
 #pragma once
 
 #include <cstdint>
@@ -58,9 +58,9 @@
 struct LesseeMessage {
   std::uint64_t lessor_incarnation = 0;  // to which the numbers of grants and refunds belong; 0: none yet
   std::uint64_t epoch = 0;               // of the lease held; 0: none
-  std::uint64_t probe = 0;  // time of sending in ms, echoed by the lessor; 0: no renewal requested
-  std::uint64_t refunds_taken = 0;
-  bool with_parts = false;  // `parts` lists all parts that the lessee holds or requests
+  std::uint64_t probe = 0;          // time of sending in ms, echoed by the lessor; 0: no renewal requested
+  std::uint64_t refunds_taken = 0;  // number of the last refund processed
+  bool with_parts = false;          // `parts` lists all parts that the lessee holds or requests
   std::vector<NewGrant> grants;
   std::vector<HeldPart> parts;
   bool operator==(const LesseeMessage&) const = default;
@@ -71,8 +71,8 @@
   // Numbered like epochs: a later lessor incarnation has a larger number.
   std::uint64_t lessor_incarnation = 0;
   std::uint64_t epoch = 0;
-  std::uint64_t probe = 0;  // echoed: renews the lease as of that time of sending; 0: no renewal
-  std::uint64_t grants_taken = 0;
+  std::uint64_t probe = 0;         // echoed: renews the lease as of that time of sending; 0: no renewal
+  std::uint64_t grants_taken = 0;  // number of the last grant processed, whether registered or refused
   std::vector<Refund> refunds;
   std::vector<OfferedPart> parts;
   bool operator==(const LessorMessage&) const = default;
