--- a/src/constants/common.hpp
+++ b/src/constants/common.hpp
@@ -26,11 +26,11 @@
 
 /// Share of the state service's limits that the leader uses.
 inline constexpr double kLeaderBudgetShare = 0.70;
-/// Share that all other controllers use together.
+/// Share of the state service's limits that all other controllers use together.
 inline constexpr double kMemberBudgetShare = 0.24;
 /// Factor on the budget of this controller after a 429 of the state service.
 inline constexpr double kPaceReductionFactor = 0.8;
-/// Minimum time between two such reductions.
+/// Minimum time between two reductions of the budget by kPaceReductionFactor.
 inline constexpr double kPaceReductionIntervalS = 1.0;
 /// Lower bound on the share of the budget that stays in use, however many 429 answers arrive.
 inline constexpr double kPaceMin = 0.25;
@@ -61,11 +61,11 @@
 /// @name Metrics
 /// @{
 
-/// Lower end of the first bucket.
+/// Lower end of the first bucket of a histogram.
 inline constexpr double kHistogramMinS = 1e-4;
-/// Upper end of the last bucket.
+/// Upper end of the last bucket of a histogram.
 inline constexpr double kHistogramMaxS = 1e3;
-/// Number of buckets, four per decade.
+/// Number of buckets of a histogram, four per decade.
 inline constexpr unsigned kHistogramBuckets = 28;
 
 /// @}
--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -24,9 +24,10 @@
 /// Part of the difference between the time allowed for a cancellation and the length of a worker's lease that
 /// is reserved for an announcement in flight, for ticks and for a worker's own steps.
 inline constexpr double kCancellationMarginS = 1.5;
-/// Minimum of the rest of that difference at which all controllers may announce cancellations while the
-/// leader answers heartbeats from its in-memory state, which lags by about 2 s. Below this bound the strict
-/// mode applies, in which only the leader announces them.
+/// Minimum of the time allowed for a cancellation, less the length of a worker's lease and
+/// kCancellationMarginS, at which all controllers may announce cancellations while the leader answers
+/// heartbeats from its in-memory state, which lags by about 2 s. Below this bound the strict mode applies, in
+/// which only the leader announces them.
 inline constexpr double kDegradedAnswerMinS = 6.0;
 /// Time after its last renewal for which a degraded leader answers heartbeats in strict mode.
 /// Cancellations wait for it, so it is well below 75 s.
@@ -48,10 +49,13 @@
 /// the work is gone. The time is extended to the length of a lease and limited by kCancelReturnLeadS, but is
 /// at least half of this share.
 inline constexpr double kCancelPatienceShare = 0.5;
-/// Time before the end of a cancellation at which such a machine is returned at the latest, so that the
-/// cloud can confirm the return.
+/// Time before the end of the time allowed for a cancellation at which a machine that has not shown that the
+/// cancelled work is gone is returned at the latest, unless half of kCancelPatienceShare ends later. The
+/// cloud needs this time to confirm the return.
 inline constexpr double kCancelReturnLeadS = 10.0;
-/// The same bound where a new leader first waits for the heartbeats of unreconciled machines.
+/// Replaces kCancelReturnLeadS where a new leader first gives an unreconciled or unanswered machine time for
+/// two heartbeats. If less than this is left of the time allowed for the cancellation, the machine gets the
+/// whole time for two heartbeats.
 inline constexpr double kNewLeaderCancelReturnLeadS = 5.0;
 /// Upper bound on the random delay before a campaign. The delay makes collisions between candidates rare.
 inline constexpr double kCampaignJitterS = 0.12;
@@ -78,7 +82,7 @@
 inline constexpr double kStatusIntervalS = 0.5;
 /// Age above which the status of another controller is disregarded.
 inline constexpr double kPeerStatusFreshS = 1.8;
-/// Time after which a forwarded request without an answer is answered here.
+/// Time after which a forwarded user request that the leader has not answered is answered by this controller.
 inline constexpr double kForwardTimeoutS = 1.2;
 /// Forwarded requests in flight per MB of memory before new ones are answered with 503.
 inline constexpr double kForwardedRequestsPerMb = 16;
@@ -87,11 +91,12 @@
 inline constexpr double kOwnHeartbeatRatePerCore = 500;
 /// Bytes queued for another controller at which they are sent without waiting for the tick.
 inline constexpr std::size_t kPeerBatchBytes = std::size_t{32} * 1024;
-/// Time for which a heartbeat may wait for a leader or its answer. Its worker gives up after 4 s.
+/// Time for which a heartbeat may wait for a leader or a leader's answer. Its worker gives up after 4 s.
 inline constexpr double kHeartbeatParkTimeoutS = 2.5;
-/// Heartbeats waiting for a leader, per MB of memory.
+/// Heartbeats that may wait for a leader, per MB of memory, before new ones are answered with 503.
 inline constexpr double kParkedHeartbeatsPerMb = 16;
-/// Machines whose last forwarded heartbeat is kept, per MB of memory.
+/// Maximum number of machines, per MB of memory, whose last forwarded heartbeat is kept. Heartbeats of
+/// further machines are always forwarded in full.
 inline constexpr double kLastHeartbeatsPerMb = 20;
 /// Timeout of a direct call that a follower makes for the leader.
 inline constexpr double kDelegatedCallTimeoutS = 3.0;
@@ -120,7 +125,8 @@
 /// Upper bound on the amounts of a job. Larger ones are rejected as implausible. As the limit of a team
 /// it means "unlimited".
 inline constexpr double kAmountMax = 1e9;
-/// Attempts to write a cancellation. Each failed one lost to a concurrent write of the same record.
+/// Maximum number of attempts to write a cancellation. A new attempt is made only if another write changed
+/// the job's records after the previous attempt had read them.
 inline constexpr int kCancelWriteAttempts = 4;
 
 /// @}
--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -22,10 +22,10 @@
 inline constexpr std::size_t kMachineListPageItems = 500;
 /// Timeout of a call to the cloud.
 inline constexpr double kCloudCallTimeoutS = 4.0;
-/// Factor on the nominal boot time after which a machine that is not up is returned. It also limits the time
-/// after which a boot is late.
+/// A machine that is not up after this multiple of its nominal boot time plus kBootTimeoutSlackS is returned.
+/// A boot counts as late after this multiple of the nominal boot time at the latest.
 inline constexpr double kBootTimeoutFactor = 2.5;
-/// Time added to that boot timeout.
+/// Time added to kBootTimeoutFactor times the nominal boot time before a machine that is not up is returned.
 inline constexpr double kBootTimeoutSlackS = 5.0;
 /// Assumed boot time of a machine whose type is not in the catalog.
 inline constexpr double kDefaultBootS = 60;
@@ -52,7 +52,8 @@
 /// Unreconciled machines up to which the unresponsive ones among them are returned early, because they
 /// hold up the work of earlier leaders.
 inline constexpr std::size_t kFewUnreconciledMax = 3;
-/// Share of all machines up to which the same applies. With more of them a network fault is likely.
+/// Share of all machines up to which unreconciled ones also count as few, if it allows more of them than
+/// kFewUnreconciledMax. With even more of them a network fault is likely.
 inline constexpr double kFewUnreconciledShare = 0.02;
 /// Machines in one return request (the cloud's limit).
 inline constexpr std::size_t kReturnRequestMachinesMax = 100;
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -54,7 +54,8 @@
 inline constexpr int kUndeliveredCommandsMax = 2;
 /// Failed probes in a row after which a machine counts as unresponsive or unreachable.
 inline constexpr int kProbeFailureThreshold = 2;
-/// Heartbeats held per MB of memory while a new leader reads the ledger.
+/// Heartbeats that a new leader may hold, per MB of memory, while it reads the ledger, before it answers new
+/// ones with 503.
 inline constexpr double kEarlyHeartbeatsPerMb = 40;
 /// Delay before a failed read of the ledger, of a dependency or of the change log is retried, and time
 /// between two reads of the change log until the leader knows all announced cancellations.
@@ -66,7 +67,8 @@
 inline constexpr double kInsufficientResourcesBackoffS = 1.0;
 /// Upper bound on the time that a new leader without any machine on record waits for heartbeats.
 inline constexpr double kEmptyFleetReconcileS = 2.0;
-/// Time between two checks whether all machines are reconciled.
+/// Minimum time between two checks of whether every machine on record has reported its tasks or failed to
+/// answer a probe, which ends the reconciling phase.
 inline constexpr double kReconcileCheckIntervalS = 0.2;
 /// Share of a lease after which an unresponsive machine is recorded as unanswered. A machine that returns
 /// earlier must be answered at once, because its tasks end with its lease.
@@ -75,7 +77,7 @@
 inline constexpr double kLivenessCheckIntervalS = 0.25;
 /// Time between two passes over the jobs that end or have progress to write.
 inline constexpr double kJobSweepIntervalS = 0.2;
-/// Time between two log lines about the reasons for which jobs wait.
+/// Time between two passes over the jobs that log why they wait, where the reason has changed.
 inline constexpr double kWaitReasonLogIntervalS = 1.0;
 /// Minimum time between two probes of a machine that may be unreachable.
 inline constexpr double kSuspectProbeIntervalS = 2.0;
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -66,7 +66,7 @@
   handle_unmatched_tasks(machine, shown, ended_tasks);
   for (const auto& task : heartbeat.tasks) {
     // For a task that is listed twice, clears the exited entry that was not used above.
-    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
+    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear_command(machine, task);
   }
   confirm_reservations(machine);
   cancelled_work_.update(machine);
@@ -182,7 +182,7 @@
 
 // Queues a clear command for an exited task. An attempt that was launched by a direct command is not cleared,
 // because a duplicate of that command could then start it again.
-void Scheduler::queue_clear(Machine& machine, const TaskStatus& task) {
+void Scheduler::queue_clear_command(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
 }
@@ -190,7 +190,7 @@
 void Scheduler::handle_unmatched_task(Machine& machine, const TaskStatus& task) {
   Job* job = context_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
-    queue_clear(machine, task);
+    queue_clear_command(machine, task);
     if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
         task.task.index >= job->spec.tasks)
       return;
@@ -228,7 +228,7 @@
   } else {
     job.mark_done(index);
   }
-  if (job.done_count == job.spec.tasks) complete(job);
+  if (job.done_count == job.spec.tasks) begin_completion(job);
 }
 
 void Scheduler::handle_task_exit(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
@@ -243,11 +243,11 @@
                   machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
   if (task.exit_reason == ExitReason::kDone) {
     handle_task_success(machine, job, index, run);
-    queue_clear(machine, task);
+    queue_clear_command(machine, task);
     context_.metrics.count("tasks_done");
     return;
   }
-  queue_clear(machine, task);
+  queue_clear_command(machine, task);
   if (job.over()) return;
   delay_next_attempt(machine, job, task.exit_reason);
   if (!job.spec.gang) {
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -52,7 +52,7 @@
       WritePriority::kBackground);
 }
 
-void Scheduler::complete(Job& job) {
+void Scheduler::begin_completion(Job& job) {
   if (job.state != JobState::kActive) return;
   JobLedger::set_state(job, JobState::kCompleting);
   write_final_record(job);
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -110,7 +110,7 @@
   drop_machine_tasks(machine, "the lease of its machine has expired");
 }
 
-void Scheduler::watch_machines() {
+void Scheduler::check_machine_liveness() {
   for (auto& [name, machine] : context_.machines.all()) {
     detect_missed_heartbeats(machine);
     const bool probes_failed = machine.unreconciled && machine.probe_failures >= c::kProbeFailureThreshold;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -199,7 +199,7 @@
       finish_job(*job, *state);
       read_job(id);
     }
-    if (job->state == JobState::kActive && job->done_count == job->spec.tasks) complete(*job);
+    if (job->state == JobState::kActive && job->done_count == job->spec.tasks) begin_completion(*job);
     if (job->state == JobState::kActive) record_arrival(*job);
   }
 }
@@ -220,7 +220,7 @@
 // Returns whether the round of heartbeats is complete: every machine that an earlier leader may have used has
 // reported its tasks or failed to answer a probe, and some machine has reported, or the time for the round is
 // over.
-bool Scheduler::reconciled() {
+bool Scheduler::reconciling_is_over() {
   const double now = context_.now.steady;
   if (now >= reconcile_until_) return true;
   if (now < next_reconcile_check_) return false;
--- a/src/coordination/scheduling/array_tiers.cpp
+++ b/src/coordination/scheduling/array_tiers.cpp
@@ -51,8 +51,8 @@
 
 // Cores that the arrays of each team can be expected to use: what their remaining tasks need, at most the
 // team's quota minus the cores of its gangs, but at least one core. The result is scaled by
-// `kAttainableRateShare`, and in proportion if the supply that gangs leave is smaller than the sum over all
-// teams.
+// `kAttainableRateShare`, and in proportion (at least by `kMinSupplyShare`) if the supply that gangs leave is
+// smaller than the sum over all teams.
 std::map<std::string, double> cores_by_team(ControllerContext& context, const CandidatesByTeam& teams,
                                             double supply_cpus) {
   std::map<std::string, double> gang_cpus;
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -49,7 +49,7 @@
   struct ArrayArrival {
     double at;  // steady time, s
     protocol::JobSpec spec;
-    double cores;      // of all its tasks together
+    double cores;      // cpus of all tasks that were not done when it was recorded
     double allowed_s;  // from its recording to its due time, at least 1
   };
   // Answers of `suits_gangs` and `kept_for_gangs` for machines of one kind.
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -144,7 +144,9 @@
 }
 
 // Withholds the quota that waiting gangs need from the arrays of their teams, also while preemption is still
-// freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve.
+// freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve. Nothing
+// is withheld for gangs that failed on several machines, or that do not fit into the team's limit on cpus
+// beside its other gangs.
 void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
@@ -186,8 +188,8 @@
   return offers;
 }
 
-// Reserves capacity for all tasks of the gang. Returns false if they do not fit. Removes machines that have
-// no free cpus left from `open`.
+// Reserves capacity for all tasks of the gang. Returns false if they do not fit. Removes from `open` the
+// machines that have no free cpus left.
 bool Scheduler::reserve_for_gang(Job& job, std::vector<Offer>& open) {
   auto offers = offers_for(job, open);
   std::uint32_t slots = 0;
--- a/src/coordination/scheduling/gang_state.cpp
+++ b/src/coordination/scheduling/gang_state.cpp
@@ -27,8 +27,8 @@
   switch (job.gang) {
     case GangState::kQueued:
       if (job.runs.empty()) return;
-      // An earlier leader launched it. It goes on if all tasks run; otherwise all are stopped and it is
-      // queued again.
+      // An earlier leader launched the gang. It goes on if all its tasks are known. Otherwise, once no
+      // unreconciled machine may have the others, all are stopped and the gang is queued again.
       if (complete_set)
         JobLedger::set_gang_state(job, GangState::kRunning, now);
       else if (!unreconciled_.may_hold_tasks_of(job))
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -18,7 +18,8 @@
 /// The machine's capacity minus all runs, reservations and unknown tasks on it. The result is cached in the
 /// machine and recomputed after one of them has changed.
 const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
-/// The same without the cache. Returns zero resources while a task of unknown size is on the machine.
+/// Computes the machine's free resources without the cache: its capacity minus all runs, reservations and
+/// unknown tasks on it. Returns zero resources while a task of unknown size is on the machine.
 Resources compute_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
 /// Whether the job specification allows machines of this type, zone and price model (`spot`).
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -135,7 +135,7 @@
 
 // Frees capacity for the gang by preempting tasks of lower priority, for one task of the gang per machine, on
 // as many machines as it still needs, those that lose the fewest cpu seconds first. Does nothing while a
-// machine is reserved for the gang.
+// machine is reserved for the gang, or if this would not free enough capacity for all its tasks.
 void Scheduler::preempt_for(const Job& job) {
   const double now = context_.now.steady;
   if (has_reserved_machine(job)) return;
--- a/src/coordination/scheduling/run_times.cpp
+++ b/src/coordination/scheduling/run_times.cpp
@@ -46,8 +46,8 @@
   if (spec.estimate_s <= 0) return known ? std::exp(found->second.log_run_mean) : c::kDefaultRunS;
   const double estimate = std::log(spec.estimate_s);
   if (!known) {
-    // Until enough tasks of the class have completed, the estimate is averaged with those of other jobs of
-    // the class, so that a single wrong estimate has less effect.
+    // Until enough tasks of the class have completed, the estimate is averaged with the estimates of the
+    // class, if there are enough of them, so that a single wrong estimate has less effect.
     if (found == classes_.end() || found->second.estimate_count < c::kLearnCompletionsMin)
       return spec.estimate_s;
     return std::exp(c::kEstimateWeight * estimate +
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -123,13 +123,13 @@
     finish_loading();
   }
   direct_commands_.refill_budget();
-  if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciled()) {
+  if (phase_ == LeaderPhase::kReconciling && election_.valid() && reconciling_is_over()) {
     set_phase(LeaderPhase::kServing);
     round_requested_ = true;
   }
   if (now >= next_machine_watch_) {
     next_machine_watch_ = now + c::kLivenessCheckIntervalS;
-    watch_machines();
+    check_machine_liveness();
   }
   send_stops();
   if (!election_.valid()) return;
@@ -156,7 +156,7 @@
   if (context_.now.steady < job.backoff_until) return "its backoff after failures has not ended";
   if (unreconciled_.may_hold_tasks_of(job)) return "an unresponsive machine may still run its tasks";
   if (!context_.quota.allows(job.spec, job.spec.gang ? job.spec.tasks : 1))
-    return "the quota of its team is used up";
+    return "the quota of its team does not allow it now";
   if (job.tier > 0) return "other arrays go first, since it would miss its due time anyway";
   return "no machine has free capacity that it may use now";
 }
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -92,8 +92,8 @@
   bool knows_all_jobs() const {
     return election_.valid() && (phase_ == LeaderPhase::kReconciling || phase_ == LeaderPhase::kServing);
   }
-  /// Whether work may be launched: this controller leads, is serving (the machines are reconciled or the time
-  /// for that is over), and knows all announced cancellations.
+  /// Whether work may be launched: this controller leads, is serving (each machine on record has reported its
+  /// tasks or failed to answer a probe, or the time for that is over), and knows all announced cancellations.
   bool may_place() const {
     return election_.valid() && phase_ == LeaderPhase::kServing && election_.caught_up_on_cancellations();
   }
@@ -136,21 +136,22 @@
   /// Whether the machine has been unresponsive for long enough to be returned to the cloud.
   bool unresponsive_too_long(const bookkeeping::Machine& machine) const;
   const RunTimes& run_times() const { return run_times_; }
-  /// See `QueueOrder::time_left`.
+  /// Seconds until the job should be over; negative if it is late (see `QueueOrder::time_left`).
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
-  /// Queries of the fleet to the arrival history; see `ArrivalHistory`.
+  /// This and the next three are forwarded to `ArrivalHistory`, for the components that scale the fleet.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
   double array_load(double boot_s) const { return arrivals_.array_cores(boot_s); }
-  /// See `coordination::has_gang`.
+  /// Whether gang tasks are placed on the machine, or capacity is reserved there for a gang.
   static bool has_gang(const bookkeeping::Machine& machine) { return coordination::has_gang(machine); }
   /// Stops all runs on the machine, and all other tasks of gangs that have one there. Tasks with checkpoints
   /// get time to save one.
   void stop_machine_tasks(bookkeeping::Machine& machine, const char* why);
   /// Gangs that were waiting for capacity after the last placement round.
   const std::vector<bookkeeping::Job*>& waiting_gangs() const { return waiting_gangs_; }
-  /// See `UnreconciledMachines::count`.
+  /// Number of machines that were recorded under an earlier leader and whose tasks this leader does not know
+  /// yet.
   std::size_t unreconciled_machines() const { return unreconciled_.count(); }
   /// Compares the incrementally updated totals with a full recount, for tests. Returns a description of the
   /// first difference, or an empty string.
@@ -184,7 +185,7 @@
   void list_unreconciled_machines();
   void settle_loaded_jobs();
   void track_previously_cancelled_jobs();
-  bool reconciled();
+  bool reconciling_is_over();
   // ---- heartbeats ----
   bool authorize_heartbeat(std::uint64_t key, std::uint64_t fencing_token);
   void record_stale_term_heartbeat(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat);
@@ -215,7 +216,7 @@
   void delay_next_attempt(bookkeeping::Machine& machine, bookkeeping::Job& job, protocol::ExitReason reason);
   void record_result(bookkeeping::Job& job, std::uint32_t index);
   void handle_unmatched_task(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
-  void queue_clear(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
+  void queue_clear_command(bookkeeping::Machine& machine, const protocol::TaskStatus& task);
   std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine);
   void drop_lost_run(bookkeeping::Job& job, std::uint32_t index, const char* why);
   void drop_machine_tasks(bookkeeping::Machine& machine, const char* why);
@@ -278,10 +279,10 @@
   void write_derived_cancellation(bookkeeping::Job& job);
   void write_progress(bookkeeping::Job& job);
   bool has_remaining_tasks(protocol::JobId id);
-  void complete(bookkeeping::Job& job);
+  void begin_completion(bookkeeping::Job& job);
   void write_final_record(bookkeeping::Job& job);
   void sweep_jobs();
-  void watch_machines();
+  void check_machine_liveness();
   void detect_missed_heartbeats(bookkeeping::Machine& machine);
   void return_if_cancelled_work_overdue(bookkeeping::Machine& machine);
   bool check_unanswered_launches(bookkeeping::Machine& machine);
