--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -53,8 +53,9 @@
   const double now = context_.now.steady;
   const auto& cancellations = context_.cancellations;
   if (!owns_fencing_token()) return false;
-  // In strict mode, only a valid leader announces cancellations, and not before every former leader has
-  // passed this bound.
+  // In strict mode, only a valid leader announces cancellations, and only once every former leader has
+  // stopped answering heartbeats. A leader stops at the latest one answer window after it sent its last
+  // successful renewal.
   if (cancellations.only_leader_announces())
     return now < last_renewal_sent_at_ + cancellations.heartbeat_answer_window_s() * (1 - c::kClockDrift);
   return now < cancellations.known_up_to(now) + cancellations.heartbeat_answer_window_s();
@@ -174,8 +175,9 @@
   }
   const LeaderRecord record = LeaderRecord::decode(read.value);
   if (record.member == context_.settings.member) {
-    // An earlier process of this member wrote the key, or a transaction of this process was applied late. No
-    // other process leads under it, so a new campaign may replace it.
+    // An earlier process of this member wrote the key, or this process did: it stepped down and its lease has
+    // not expired yet, or the transaction of an earlier campaign was applied late. No process leads under the
+    // key, so a new campaign may replace it.
     start_campaign(read.mod_revision);
     return;
   }
@@ -203,8 +205,8 @@
     term_ = std::max(term_, record.term);
   }
   if (!gone) return watch_leader_key(std::max(after_revision, watch.revision));
-  // All followers see the change at the same time. A short random delay keeps their campaigns from
-  // colliding.
+  // All followers see the deletion of the leader key at about the same time. A short random delay makes it
+  // unlikely that their campaigns collide.
   retry_in(watch.complete() ? context_.random_below(c::kCampaignJitterS) : c::kCampaignRetryS);
 }
 
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -15,7 +15,8 @@
 ///
 /// A leader that can't reach the key-value store keeps answering heartbeats for a while, which renews the
 /// leases of its workers (docs/design.md, "Cancellations"). It has stopped when the bound in the term record
-/// has passed, or earlier if one of its status messages shows that it has seen the new term or was restarted.
+/// has passed, or, for the predecessor, earlier if one of its status messages shows that it has seen the new
+/// term or was restarted.
 class FormerLeaders {
  public:
   /// `context` must outlive this object.
@@ -43,8 +44,10 @@
   const ControllerContext& context_;
   std::string predecessor_;  ///< member that led in the last term; empty: there was none
   std::uint64_t predecessor_incarnation_ = 0;
-  double predecessor_answer_bound_s_ = 0;     ///< how long it may answer heartbeats after an election
-  std::int64_t earlier_stopped_wall_ms_ = 0;  ///< after it, no leader before the predecessor answers
+  /// How long the predecessor may answer heartbeats once another member is elected.
+  double predecessor_answer_bound_s_ = 0;
+  /// Wall time after which no leader before the predecessor answers heartbeats.
+  std::int64_t earlier_stopped_wall_ms_ = 0;
   std::uint64_t unanswered_recorded_since_ = 0;
   double predecessor_stopped_at_ = -1e9;  ///< steady time
   double earlier_stopped_at_ = -1e9;      ///< steady time, of all leaders before the predecessor
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -31,15 +31,15 @@
   /// Registers this process as one that grants quota leases when it leads. Must be called before the first
   /// tick.
   void offer_quota_leases() { offers_quota_leases_ = true; }
-  /// Whether every peer has registered at least once. The rolling upgrade is then complete, and this process
-  /// keeps regarding it so.
+  /// Whether every peer has registered at least once with a version that supports dependencies. The rolling
+  /// upgrade is then complete, and this process keeps regarding it so.
   bool upgrade_complete() const { return upgrade_complete_; }
 
  private:
   struct Member {
     std::uint64_t registered_incarnation = 0;  ///< of the process that registered last; 0: none yet
     std::uint64_t latest_incarnation = 0;      ///< in the member's latest status; 0: none received yet
-    bool quota_leases = false;                 ///< the registered process grants them when it leads
+    bool quota_leases = false;                 ///< the registered process grants quota leases when it leads
   };
   void register_self();
   void write_registration(std::uint64_t mod_revision);
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -36,7 +36,7 @@
 ChangeLog::ChangeLog(ControllerContext& context, const Election& election, Events events)
     : context_(context), election_(election), events_(std::move(events)) {}
 
-WriteOp ChangeLog::entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
+WriteOp ChangeLog::make_entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
   boost::json::object value;
   if (cancelled) value[bookkeeping::kEntryCancelled] = true;
   return {kPrefix + protocol::job_id_text(id) + "." + std::to_string(incarnation) + "." +
@@ -62,9 +62,9 @@
   for (const auto& done : waiting) done(false);
 }
 
-// Entries that exist before the jobs are read are only deleted, since the job records already contain their
-// changes. The watch starts at the revision of the first page, so no later entry is missed. After a restart
-// of all controllers there may be more than one page.
+// Deletes, without acting on them, the entries that exist before the jobs are read, since the job records
+// already contain their changes. The watch starts at the revision of the first page, so no later entry is
+// missed. After a restart of all controllers there may be more than one page.
 void ChangeLog::load(const std::string& after, std::uint64_t watch_from, Done done) {
   context_.state.list(kPrefix, after,
                       [this, after, watch_from, done = std::move(done),
@@ -89,8 +89,9 @@
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
                            // The changes after revision `after` were compacted and can't be read any more.
                            return events_.entries_missed();
-                         // No usable answer: watches again from the same revision, after a read was answered
-                         // or has failed.
+                         // The watch got no usable answer: reads the term record, only to learn when the
+                         // state service answers, and watches again from revision `after` once that read
+                         // was answered or has failed.
                          context_.state.read(
                              bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// The change log in the state service: one entry for each job that a controller other than the leader
-/// admitted, and for each cancellation that a controller wrote without having the job in a leader's ledger.
-/// An entry is written in the same transaction as the change that it records. Only the leader deletes
-/// entries: those that exist when its term begins before it reads the jobs, later ones after it has acted on
-/// them.
+/// admitted, unless it was recorded as cancelled at once, and for each cancellation that a user requested and
+/// that a controller wrote, as it was not a leader with the job in its ledger. An entry is written in the
+/// same transaction as the change that it records. Only the leader deletes entries: those that exist when its
+/// term begins before it reads the jobs, later ones after it has acted on them.
 #pragma once
 
 #include <functional>
@@ -49,8 +49,8 @@
 
   /// Returns the entry to be written in the transaction of a change. `sequence` makes the key unique in this
   /// process.
-  static bookkeeping::WriteOp entry(protocol::JobId id, std::uint64_t incarnation, std::uint64_t sequence,
-                                    bool cancelled);
+  static bookkeeping::WriteOp make_entry(protocol::JobId id, std::uint64_t incarnation,
+                                         std::uint64_t sequence, bool cancelled);
 
  private:
   struct StoredEntry {
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -82,8 +82,8 @@
   lookup_.read_own_records(id, [this, id, generation = generation_](const JobLookup::Result& known) {
     if (generation != generation_) return;
     reading_.erase(id);
-    // A conclusive answer ends the pause, since more dependencies may be waiting to be read. The cases in
-    // which this one has to be read again set a new pause.
+    // After a conclusive answer the next reads may start at once, since more dependencies may be waiting to
+    // be read. If this dependency has to be read again, the cases below set a later time.
     if (known.record_status != JobLookup::Result::RecordStatus::kUnknown) next_read_ = context_.now.steady;
     switch (known.record_status) {
       case JobLookup::Result::RecordStatus::kFinal:
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -20,9 +20,9 @@
  public:
   /// Callbacks for the changes on which the leader acts.
   struct Events {
-    std::function<void(bookkeeping::Job&)> ready;      // all its dependencies are done
-    std::function<void(bookkeeping::Job&)> cancelled;  // one of its dependencies is cancelled
-    std::function<void(protocol::JobId)> admitted;  // accepted by another controller, not in the ledger yet
+    std::function<void(bookkeeping::Job&)> ready;      // all dependencies of the job are done
+    std::function<void(bookkeeping::Job&)> cancelled;  // a dependency of the job is cancelled
+    std::function<void(protocol::JobId)> admitted;  // the dependency was accepted, is not in the ledger yet
   };
   /// The references must outlive the object.
   Dependencies(ControllerContext& context, JobLookup& lookup, Events events);
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -268,7 +268,8 @@
   if (job.state == JobState::kActive) record_result(job, index);
 }
 
-// Sets which machine the job avoids and how long it backs off after one of its tasks ended without a result.
+// After a task of the job has ended without a result on the machine: depending on the reason, makes the job
+// avoid the machine for a while, back off, both or neither.
 void Scheduler::delay_next_attempt(Machine& machine, Job& job, ExitReason reason) {
   const double now = context_.now.steady;
   switch (reason) {
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -162,7 +162,7 @@
   write_final_record(job);
 }
 
-// Adds a job that another controller admitted from its live record.
+// Adds to the ledger, from its live record, a job that another controller admitted.
 void Scheduler::add_from_record(JobId id, const StateRead& read) {
   auto fresh = JobLedger::from_record(read.value, read.mod_revision, context_.now.steady);
   if (!fresh || (context_.jobs.final_state(id) && !fresh->over())) return;
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -39,8 +39,8 @@
 // that replace one another within a lease would each wait for a whole lease.
 void Scheduler::stop_answering(Machine& machine) {
   if (machine.unanswered_since_ms || machine.state == MachineState::kGone) return;
-  // A machine that recovers before this point must be answered at once, or its lease expires and its tasks
-  // end.
+  // For the first kUnansweredLeaseShare of its lease a machine that sends heartbeats again must be answered
+  // at once. Waiting for a record to be written could let the lease expire, which ends the machine's tasks.
   if (context_.now.steady < last_answer_at(machine) + c::kUnansweredLeaseShare * context_.settings.lease_s)
     return;
   const double since_s = last_answer_at(machine) - context_.now.steady;
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -39,9 +39,9 @@
   });
 }
 
-// Returns the shortest interval between two writes of an urgent record. It grows with the number of waiting
-// records, so that each write covers more changes and part of the write budget is left for completions and
-// submissions.
+// Returns the shortest interval between two writes of an urgent record. If many urgent records wait, it
+// grows with their number, so that each write covers more changes and part of the write budget is left for
+// completions and submissions.
 double MachineRecordWriter::urgent_write_interval_s() const {
   const auto& groups = context_.machines.groups();
   const auto urgent = std::count_if(groups.begin(), groups.end(), [](const auto& entry) {
@@ -88,7 +88,8 @@
   auto& group = context_.machines.groups()[record.group];
   group.writing = false;
   if (outcome == WriteOutcome::kConflict)
-    return election_.on_state_diverged();  // another leader wrote it: start over from the ledger
+    // The stored record is not the one that this leader expected, so its in-memory state may be wrong too.
+    return election_.on_state_diverged();
   if (outcome != WriteOutcome::kDone) {
     group.urgent = true;
     return;
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -16,8 +16,8 @@
 
 /// Keeps the machine records of the state service up to date with the machine ledger. A machine has to be on
 /// record with its address before anything is launched there, so that a new leader knows where to look for
-/// running tasks. Each record is written with a compare-and-swap; a conflict means that another leader wrote
-/// it, and ends this leadership.
+/// running tasks. Each record is written with a compare-and-swap. A conflict means that the stored record is
+/// not the one that this leader expected, and ends this leadership.
 class MachineRecordWriter {
  public:
   /// The references must outlive the writer.
--- a/src/coordination/routing/cancellations.hpp
+++ b/src/coordination/routing/cancellations.hpp
@@ -57,8 +57,8 @@
   void end_leadership();
   /// Called when a read of the whole change log begins.
   void on_change_log_read_started(double now);
-  /// Called when that read is complete; `renewed` is the time at which the last confirmed renewal of the
-  /// leader key was sent.
+  /// Called when the read of the change log is complete; `renewed` is the time at which the last confirmed
+  /// renewal of the leader key was sent.
   void on_change_log_read_finished(double renewed);
   /// Called when a renewal of the leader key that was sent at `sent` has succeeded.
   void on_leader_key_renewed(double sent);
@@ -88,7 +88,8 @@
     std::uint64_t incarnation = 0;
     std::uint64_t announced = 0;  ///< how many cancellations it says that it has announced
     std::uint64_t known = 0;  ///< number up to which its announcements are known or, by a follower, skipped
-    bool announcements_contiguous = false;  ///< those of its earlier processes are known here, too
+    bool announcements_contiguous = false;  ///< while this controller leads: those up to `known` and of its
+                                            ///< earlier processes are known here
     double known_at = kNever;               ///< time up to which all its announcements are known here
     std::uint64_t probe = 0;                ///< its last probe, to be echoed in the next status
     double last_echo_sent_at = kNever;      ///< when this process last sent it a status that echoes its probe
@@ -119,8 +120,8 @@
   std::map<std::string, Peer> peers_;
   double last_read_started_at_ = kNever;      ///< when the last complete read of the change log began
   double confirmed_up_to_ = kNever;           ///< the part of `known_up_to` that the state service confirms
-  std::optional<Snapshot> open_read_;         ///< of the change log read in progress
-  std::optional<Snapshot> unconfirmed_read_;  ///< of a complete read that awaits a later renewal
+  std::optional<Snapshot> open_read_;         ///< for the read of the change log in progress
+  std::optional<Snapshot> unconfirmed_read_;  ///< for a complete read that awaits a renewal of the leader key
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/change_log_entries.hpp
+++ b/src/coordination/routing/change_log_entries.hpp
@@ -15,10 +15,10 @@
   explicit ChangeLogEntries(std::uint64_t incarnation) : incarnation_(incarnation) {}
 
   bookkeeping::WriteOp make_admission_entry(protocol::JobId id) {
-    return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/false);
+    return ChangeLog::make_entry(id, incarnation_, ++written_, /*cancelled=*/false);
   }
   bookkeeping::WriteOp make_cancellation_entry(protocol::JobId id) {
-    return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/true);
+    return ChangeLog::make_entry(id, incarnation_, ++written_, /*cancelled=*/true);
   }
 
  private:
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -97,13 +97,13 @@
     peers_.mark_not_leading(message.member);
     return route(message.request);
   }
-  if (message.status == 200 && request->target != n::kPathJobs) record_final_state(message.body);
+  if (message.status == 200 && request->target != n::kPathJobs) apply_reported_final_state(message.body);
   answer(message.request, static_cast<int>(message.status), static_cast<int>(message.retry_after_s),
          message.body);
 }
 
 // Final states are durable, so this controller may cache them and answer later polls itself.
-void RequestRouter::record_final_state(const std::string& job_body) {
+void RequestRouter::apply_reported_final_state(const std::string& job_body) {
   const auto reported = parse_reported_state(job_body);
   if (!reported) return;
   if (reported->state == n::kStateDone)
--- a/src/coordination/routing/http_requests.cpp
+++ b/src/coordination/routing/http_requests.cpp
@@ -20,8 +20,9 @@
   const auto route = parse_route(request.method, path);
   if (!route) {
     refuse_route(request, route.error());
-    // For an unknown path and for a wrong method on the readiness path the step is still finished. This keeps
-    // the timing of the state writer, which can be observed from outside, as it has always been.
+    // After an unknown path or a wrong method on the readiness path the caller still finishes the step, as
+    // earlier versions did: this keeps the times at which the state writer sends its writes, which can be
+    // observed from outside.
     return route.error() == RouteError::kUnknownPath || path == n::kPathReady ? Handled::kDone
                                                                               : Handled::kRefused;
   }
--- a/src/coordination/routing/job_admission.hpp
+++ b/src/coordination/routing/job_admission.hpp
@@ -25,8 +25,8 @@
 /// invalid or can never run; if that can't be decided now, the answer is 503.
 class JobAdmission {
  public:
-  /// Called after this process has admitted a job, not recorded as cancelled, that it did not add to its own
-  /// ledger, so that the leader can be notified before it next reads the change log.
+  /// Called after this process has admitted a job without recording it as cancelled, and did not add it to
+  /// its own ledger, so that the leader can be notified before it next reads the change log.
   using JobChanged = std::function<void(protocol::JobId)>;
 
   JobAdmission(ControllerContext& context, const Election& election, Scheduler& scheduler,
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -30,7 +30,8 @@
 
 PeerTable::StatusOutcome PeerTable::apply_status(const protocol::PeerMessage& status, double now) {
   Peer& peer = peers_.at(status.member);
-  // A delayed status of an earlier process must not overwrite that of its successor.
+  // A lower incarnation together with a lower term shows a delayed status of an earlier process, which must
+  // not overwrite that of its successor.
   if (status.incarnation < peer.incarnation && status.term < peer.term) return StatusOutcome::kOutdated;
   peer.incarnation = status.incarnation;
   peer.term = status.term;
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -40,7 +40,8 @@
   bool is_ready(const std::string& member) const { return peers_.at(member).ready; }
 
   void link_up(const std::string& member) { peers_[member].linked = true; }
-  /// Also clears the time of last contact, so that the peer is not fresh before its next status.
+  /// Marks the link as down and clears the time of last contact, so that the peer is not fresh before its
+  /// next status.
   void link_down(const std::string& member);
   /// Stores the status of a known member.
   StatusOutcome apply_status(const protocol::PeerMessage& status, double now);
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -192,8 +192,9 @@
 // ---------------------------------------------------------------- answers
 
 // Every cancellation that this controller itself reports passes through this function, in answers to users
-// and to controllers that forwarded a user's request. It is announced to the other controllers first. Answers
-// of the leader that are only passed on do not pass through here; see record_final_state.
+// and to controllers that forwarded a user's request. The cancellation is announced to the other controllers
+// before the answer. The leader's answers to forwarded requests do not pass through here: for a cancellation
+// that they report, apply_reported_final_state makes the announcement.
 void RequestRouter::answer_user(RequestKey key, const UserAnswer& reply) {
   if (!reply.cancelled) return answer(key, reply.status, reply.retry_after_s, reply.body);
   announce_cancellation(*reply.cancelled);
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -99,7 +99,7 @@
   void answer_user(RequestKey key, const UserAnswer& answer);
   void refuse_heartbeat(RequestKey key, int status);
   void announce_cancellation(protocol::JobId id);
-  void record_final_state(const std::string& job_body);
+  void apply_reported_final_state(const std::string& job_body);
 
   ControllerContext& context_;
   Election& election_;
