--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -50,7 +50,8 @@
   /// Handles a frame from another controller. If a message in a decoded frame is rejected, the other messages
   /// of the frame still take effect.
   FrameOutcome on_frame(const protocol::ClockReading& now, const std::string& frame);
-  /// Prepares for the end of the process: resigns leadership and stops taking part in elections.
+  /// Prepares for the end of the process: reports itself as not ready, resigns leadership and stops taking
+  /// part in elections.
   void on_terminate(const protocol::ClockReading& now);
 
   /// Removes and returns the actions that were added since the last call.
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -14,8 +14,8 @@
 
 namespace robinford::coordination {
 
-/// A request for machines of one pool. A request without an answer is retried under the same name; the cloud
-/// provisions only once for each name.
+/// A request for machines of one pool. A request without a final answer is retried under the same name; the
+/// cloud provisions only once for each name.
 struct ProvisioningRequest {
   std::string name;        ///< unique across all terms
   CapacityPool pool;       ///< the pool to provision from
@@ -82,8 +82,10 @@
   std::vector<ProvisioningRequest> requests_;
   std::map<CapacityPool, double> refused_until_;  ///< steady time
   double next_return_ = 0;                        ///< steady time
-  double next_catalog_ = 0;  ///< steady time; kCatalogReadIntervalS later once types are known
-  double next_list_ = 0;     ///< steady time
+  /// Steady time at which the catalog is read again while no types are known; once they are, the read is due
+  /// kCatalogReadIntervalS after this time.
+  double next_catalog_ = 0;
+  double next_list_ = 0;  ///< steady time
   bool catalog_in_flight_ = false;
   bool list_in_flight_ = false;
   bool return_in_flight_ = false;
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -55,7 +55,8 @@
   scale_in_.remove_stale_machines();
 }
 
-// Queues several requests at once for a large shortage, but none for a pool that still has an unanswered one.
+// Queues several requests at once for a large shortage, but none for a pool with a request that has no final
+// answer yet.
 void Fleet::provision(const PoolCounts& missing) {
   for (const auto& [pool, count] : missing)
     if (!cloud_.has_request(pool))
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -22,7 +22,8 @@
   void begin();
   /// Ends the term when this controller no longer leads.
   void end();
-  /// Reviews the fleet if a review is due, and sends the cloud call that is due.
+  /// Reviews the fleet if a review is due, and sends the cloud call that is due. A degraded leader only
+  /// returns machines that may still run cancelled work.
   void tick();
 
  private:
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -18,8 +18,9 @@
   /// array tasks, so that they become idle and can be returned. Free spare machines for gangs are not
   /// drained.
   void drain_surplus(double array_cores_needed);
-  /// Moves machines to the state kReturning that failed, did not boot, are unresponsive or cordoned, or are
-  /// drained and have been idle for too long.
+  /// Moves machines to the state kReturning that failed, did not boot, have been unresponsive for too long,
+  /// are cordoned (once they are empty, if they have shown this leader's fencing token), or are drained and
+  /// have been idle for too long.
   void mark_for_return();
   /// Removes machines from the ledger that were returned long ago, or that no source has shown for long.
   void remove_stale_machines();
@@ -28,7 +29,7 @@
   /// Properties of the whole fleet, computed once per pass.
   struct FleetView {
     bool network_fault = false;  ///< so many machines are unresponsive that the network is the likelier cause
-    bool few_unreconciled = false;  ///< so few that they may be returned while jobs wait for them
+    bool few_unreconciled = false;  ///< so few machines are unreconciled that they may be returned
     bool gangs_arrive = false;
     bool arrays_arrive = false;
   };
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -211,8 +211,8 @@
   int ready = 0;
   for (const auto& group : plan.fleet)
     if (allows(*typical, group.pool) && group.free.fits(*typical)) ready += group.count;
-  // One standard deviation is subtracted from the mean, so that the spare machines are nearly sure to be
-  // used. With few arrivals, their number varies too much to keep any.
+  // One standard deviation is subtracted from the mean (also from a number that the policy sets), so that the
+  // spare machines are nearly sure to be used. With few arrivals, their number varies too much to keep any.
   const double mean = spare_gang_machines(context_, scheduler_);
   const int wanted = static_cast<int>(std::floor(mean - std::sqrt(mean)));
   for (int left = wanted - ready; left > 0; --left) {
@@ -245,9 +245,10 @@
   if (!first) return;
   const MachineType& offered = context_.types.at(first->type);
   const double offered_price = first->spot ? offered.spot_price : offered.price;
-  // Capacity that costs far more than the offered machines does not count, so that cheaper machines are
-  // provisioned before the expensive ones are drained. Waiting gangs are taken to use the expensive capacity
-  // first, so the larger of the two amounts is subtracted and not their sum.
+  // Machines without a gang whose price per core exceeds kOverpricedRatio times that of the offered type do
+  // not count as capacity, so that cheaper machines are provisioned before these are drained. Waiting gangs
+  // are assumed to use the expensive machines first, so the larger of the two amounts is subtracted and not
+  // their sum.
   const double overpriced = overpriced_cores(offered_price / offered.cpus * c::kOverpricedRatio);
   const double have = array_capacity_cores_ - std::max(overpriced, gang_claimed_cores_);
   if (needed_cores_ <= have) return;
@@ -304,7 +305,8 @@
   return needed;
 }
 
-// Core seconds of accepted array work that is not done. Half of each placed task counts as done.
+// Expected core seconds of work left in active arrays, without arrays that fail everywhere. Half of each
+// placed task counts as done.
 double ScaleOut::backlog_core_s() const {
   double work = 0;
   for (const auto& [id, job] : context_.jobs.all()) {
@@ -328,9 +330,10 @@
 
 // ---------------------------------------------------------------- pools
 
-// The pool with the lowest price per task, if each machine runs as many tasks as fit on it. Unresponsive
-// zones rank last, since machines that boot there can't reach this leader. At equal prices, the zone with the
-// fewest machines is chosen, so that the loss of one zone does not take all machines.
+// The pool with the lowest price per task, if each machine runs as many tasks as fit on it, among the pools
+// that the job allows and that did not recently refuse a request. Unresponsive zones rank last, since
+// machines that boot there can't reach this leader. At equal prices, the zone with the fewest machines is
+// chosen, so that the loss of one zone does not take all machines.
 std::optional<CapacityPool> ScaleOut::cheapest_pool(const JobSpec& spec, const PoolCounts& missing,
                                                     const std::string& only_zone) const {
   std::optional<CapacityPool> best;
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -84,7 +84,7 @@
   double needed_cores_ = 0;
   double needed_updated_at_ = 0;     ///< steady time of the last update; 0: none yet
   double array_capacity_cores_ = 0;  ///< cores for arrays on machines up, expected or requested; last plan
-  double gang_claimed_cores_ = 0;    ///< the part of them that waiting gangs will take
+  double gang_claimed_cores_ = 0;    ///< part of `array_capacity_cores_` that waiting gangs will take
   std::map<std::string, int> machines_by_zone_;
 };
 
--- a/src/coordination/fleet/zone_health.cpp
+++ b/src/coordination/fleet/zone_health.cpp
@@ -20,11 +20,11 @@
 
 void ZoneHealth::update(double serving_since_s) {
   const double now = context_.now.steady;
-  std::map<std::string, Count> zones;
-  Count all;
+  std::map<std::string, MachineCounts> zones;
+  MachineCounts all;
   for (const auto& [name, machine] : context_.machines.all()) {
     if (machine.state == MachineState::kGone || !(machine.sent_heartbeat || machine.unreconciled)) continue;
-    Count& zone = zones[machine.zone];
+    MachineCounts& zone = zones[machine.zone];
     const bool silent = is_silent(machine, serving_since_s);
     ++(silent ? zone.silent : zone.responsive);
     ++(silent ? all.silent : all.responsive);
--- a/src/coordination/fleet/zone_health.hpp
+++ b/src/coordination/fleet/zone_health.hpp
@@ -9,11 +9,12 @@
 
 namespace robinford::coordination {
 
-/// Judges zones by the heartbeats of their machines. A zone becomes unresponsive when most of its machines
-/// that should send heartbeats, and at least `kZoneOutageMachinesMin`, do not. This verdict ends when one of
-/// its machines responds and too few are silent to confirm it, or `kZoneOutageS` after it was last confirmed,
-/// for example because the silent machines were given up. When most machines of all zones are silent, the
-/// fault is taken to be on this controller's side, and no zone counts as unresponsive.
+/// Judges zones by the heartbeats of their machines, and by failed probes of machines that have sent this
+/// leader none. A zone becomes unresponsive when most of its machines that should send heartbeats, and at
+/// least `kZoneOutageMachinesMin`, do not. This verdict ends when one of its machines responds and too few
+/// are silent to confirm it, or `kZoneOutageS` after it was last confirmed, for example because the silent
+/// machines were given up. When most machines of all zones are silent, the fault is taken to be on this
+/// controller's side, and no zone counts as unresponsive.
 class ZoneHealth {
  public:
   /// `context` must outlive this object.
@@ -28,7 +29,7 @@
   bool unresponsive(const std::string& zone) const { return last_unresponsive_at_.contains(zone); }
 
  private:
-  struct Count {
+  struct MachineCounts {
     int responsive = 0;
     int silent = 0;
   };
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -16,11 +16,13 @@
   /// Distributions of durations in seconds.
   enum class Distribution {
     kGangWait,         ///< from a gang's submission until one of its tasks first runs
-    kArrayWait,        ///< the same for an array
+    kArrayWait,        ///< from an array's submission until one of its tasks first runs
     kRound,            ///< of a placement round; kept for readers of the page, though nothing records it
     kFailover,         ///< from an election to the new leader's first launch
     kHeartbeatAnswer,  ///< from a heartbeat to its answer; on the page, though nothing records it
-    kGrantWait,        ///< from when a leader learns of a job to its first placement; 0 if a lease covers it
+    /// From when a leader learns of a job, or releases it after its dependencies, to its first placement; 0
+    /// for a job granted from a quota lease.
+    kGrantWait,
   };
 
   Metrics();
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -22,7 +22,7 @@
   return found == leases_.end() ? nullptr : &found->second;
 }
 
-const GrantEntry* LeaseLedger::grant(protocol::JobId job) const {
+const GrantEntry* LeaseLedger::find_grant(protocol::JobId job) const {
   const auto found = grants_.find(job);
   return found == grants_.end() ? nullptr : &found->second;
 }
@@ -63,7 +63,7 @@
   part.keep = smaller(part.keep, lower);
 }
 
-bool LeaseLedger::add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running,
+bool LeaseLedger::add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t placed,
                             double now) {
   if (grants_.contains(new_grant.job) || new_grant.tasks == 0 || new_grant.each.is_zero()) return false;
   auto* lease = find(member);
@@ -75,7 +75,7 @@
   if (!covers(part.size, part.promised + need)) return false;
   part.promised += need;
   auto& grant = grants_[new_grant.job];
-  grant = {member, new_grant.team, new_grant.tasks, new_grant.each, running, now, false};
+  grant = {member, new_grant.team, new_grant.tasks, new_grant.each, placed, now, false};
   set_covered(grant, 0);
   return true;
 }
@@ -109,7 +109,7 @@
   if (found == grants_.end()) return;
   auto& grant = found->second;
   const auto before = grant.covered();
-  grant.running = static_cast<std::uint32_t>(std::max<std::int64_t>(0, grant.running + by));
+  grant.placed = static_cast<std::uint32_t>(std::max<std::int64_t>(0, grant.placed + by));
   grant.changed_at = now;
   set_covered(grant, before);
 }
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -1,7 +1,7 @@
 // The leader's ledger of all quota leases: their parts, the grants made from them, and the capacity that
 // lessees may still cause to be used (the *exposure*).
 //
-// A granted task that is placed is *covered*: the leader already counts it among the running tasks, so the
+// A granted task that is placed is *covered*: the leader already counts it in the team's usage, so the
 // exposure leaves it out. For each team: exposure = sum over leases of (size - covered).
 #pragma once
 
@@ -20,10 +20,10 @@
   std::string member, team;
   std::uint32_t tasks = 0;
   Amount each;                // of one task
-  std::uint32_t running = 0;  // placed tasks of the job, whether granted or not
-  double changed_at = 0;      // time of registration or of the last change of `running`
+  std::uint32_t placed = 0;   // placed tasks of the job, whether granted or not
+  double changed_at = 0;      // time of registration or of the last change of `placed`
   bool job_was_live = false;  // the job has appeared as live in the job ledger
-  std::uint32_t covered() const { return std::min(tasks, running); }
+  std::uint32_t covered() const { return std::min(tasks, placed); }
 };
 
 struct PartEntry {
@@ -31,7 +31,7 @@
   Amount size, promised, covered;
   Amount demand;
   std::uint32_t slice = 0;  // number of the durable record that holds this part
-  bool durable = false;     // the current revision is recorded, so it may be sent to the lessee
+  bool durable = false;     // the state service has recorded the current revision, so it may be sent
   double grown_at = 0;
   Amount keep;  // size to which the lessee should shrink it; equals `size` when nothing is recalled
   Amount idle() const { return size - promised; }
@@ -39,10 +39,11 @@
 
 struct LeaseEntry {
   std::uint64_t epoch = 0, incarnation = 0;
-  // Steady clock; by then the lease has expired at the lessee, within the allowed clock drift.
+  // Steady time by which the lease has expired at the lessee too, if both clocks keep to the allowed drift.
   double ends_at = 0;
   bool synchronized = false;  // the lessee uses this lessor incarnation and epoch
-  // From the lessee; a message with the same or an earlier probe is a late duplicate.
+  // Highest probe of the lessee so far; a message whose probe is not higher (and not 0) is a duplicate or out
+  // of order.
   std::uint64_t last_probe = 0;
   std::uint64_t grants_taken = 0, refunds_made = 0;
   std::deque<Refund> refunds;  // issued refunds that the lessee has not acknowledged
@@ -58,7 +59,7 @@
   const std::map<std::string, LeaseEntry>& leases() const { return leases_; }
   LeaseEntry* find(const std::string& member);
   const std::map<protocol::JobId, GrantEntry>& grants() const { return grants_; }
-  const GrantEntry* grant(protocol::JobId job) const;
+  const GrantEntry* find_grant(protocol::JobId job) const;
 
   LeaseEntry& open(const std::string& member, std::uint64_t epoch, std::uint64_t incarnation, double ends_at);
   // Removes the lease with its parts and grants.
@@ -71,7 +72,7 @@
 
   // Registers a grant. Returns false and changes nothing if the part does not cover it, the job already has a
   // grant, or the grant is empty.
-  bool add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running, double now);
+  bool add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t placed, double now);
   // Takes `tasks` tasks back from the job's grant and queues the refund for the lessee.
   void refund(protocol::JobId job, std::uint32_t tasks);
   // Queues a refund of all tasks of a grant that was not registered.
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -254,20 +254,21 @@
 // their machines, because their capacity is in use until then.
 void Lessor::reconcile_grant(protocol::JobId job, double now) {
   const auto view = leader_accounts_.job(job);
-  const auto& grant = *ledger_.grant(job);
+  const auto& grant = *ledger_.find_grant(job);
   std::uint32_t needed = 0;
   switch (view.state) {
     case JobView::State::kLive:
       ledger_.mark_job_live(job);
-      needed = std::max(view.remaining, grant.running);
+      needed = std::max(view.remaining, grant.placed);
       break;
     case JobView::State::kOver:
-      needed = grant.running;
+      needed = grant.placed;
       break;
     case JobView::State::kUnknown:
-      // The job's submission may arrive after the grant.
+      // The job's submission may arrive after the grant, so the grant of a job not seen yet is kept for
+      // kOrphanGrantS.
       if (!grant.job_was_live && now - grant.changed_at < c::kOrphanGrantS) return;
-      needed = grant.running;
+      needed = grant.placed;
       break;
   }
   if (needed >= grant.tasks) return;
@@ -291,7 +292,7 @@
   const Amount used{nearest(used_cpus), nearest(used_gpus)};
   if (!covers(limit.limit - used, need)) return false;
   // Capacity granted to this job is already part of the exposure.
-  const auto* grant = ledger_.grant(spec.id);
+  const auto* grant = ledger_.find_grant(spec.id);
   Amount granted;
   if (grant != nullptr) granted = grant->each * std::min(tasks, grant->tasks - grant->covered());
   const Amount ungranted = positive(need - granted);
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -68,9 +68,9 @@
   struct Counters {
     std::uint64_t grants_taken = 0;    // lessee grants that were registered
     std::uint64_t grants_refused = 0;  // lessee grants refused: job over or granted, or no part covers it
-    std::uint64_t refunds = 0;         // refunds issued because a job no longer needs its grant
-    std::uint64_t revoked_tasks = 0;   // granted tasks that were not placed and were revoked for waiting jobs
-    std::uint64_t recalls = 0;         // requests to a lessee to return capacity of a part
+    std::uint64_t refunds = 0;  // refunds issued because a job does not need its whole grant or is unknown
+    std::uint64_t revoked_tasks = 0;  // granted tasks that were not placed and were revoked for waiting jobs
+    std::uint64_t recalls = 0;        // requests to a lessee to return capacity of a part
     std::uint64_t leases_opened = 0, leases_expired = 0, leases_superseded = 0;
     std::uint64_t growths = 0, writes = 0, write_conflicts = 0;
     std::uint64_t bad_records = 0, bad_messages = 0;
@@ -97,7 +97,7 @@
   // durable.
   std::vector<std::pair<std::string, LessorMessage>> take_messages();
   // Returns the writes that are due, within the write budget. The caller reports the outcome of each with
-  // `written` or `not_written`.
+  // `written` or `not_written`, unless leadership was lost or the records are being read again.
   std::vector<LeaseWrite> take_writes(double now);
   void written(const std::string& key, std::uint64_t mod_revision);
   void not_written(const std::string& key, bool conflict);
@@ -110,7 +110,7 @@
   // ---- launches ----
   bool permits(const protocol::JobSpec& spec, std::uint32_t tasks, double used_cpus, double used_gpus,
                double kept_cpus) override;
-  bool granted(protocol::JobId job) const override { return ledger_.grant(job) != nullptr; }
+  bool granted(protocol::JobId job) const override { return ledger_.find_grant(job) != nullptr; }
   void charged(const protocol::JobSpec& spec, std::uint32_t tasks) override;
   void refunded(const protocol::JobSpec& spec, std::uint32_t tasks) override;
 
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -13,12 +13,12 @@
 void Lessor::revoke_idle_grants(double now) {
   std::vector<std::pair<protocol::JobId, std::uint32_t>> idle;
   for (const auto& [job, grant] : ledger_.grants())
-    if (grant.running < grant.tasks && !claims_.empty(grant.team) &&
+    if (grant.placed < grant.tasks && !claims_.empty(grant.team) &&
         now - grant.changed_at > options_.grant_idle_s)
-      idle.emplace_back(job, grant.tasks - grant.running);
+      idle.emplace_back(job, grant.tasks - grant.placed);
   for (const auto& [job, tasks] : idle) {
     counters_.revoked_tasks += tasks;
-    members_to_notify_.insert(ledger_.grant(job)->member);
+    members_to_notify_.insert(ledger_.find_grant(job)->member);
     ledger_.refund(job, tasks);
   }
 }
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -18,8 +18,8 @@
 }
 }  // namespace
 
-// Treats every recorded lease as valid for a full lease time from now, because the previous leader may have
-// renewed it until just before it lost leadership.
+// Treats every recorded lease of another controller as valid for a full lease time from now, because the
+// previous leader may have renewed it until just before it lost leadership.
 void Lessor::loaded(const std::vector<StoredLease>& records, double now) {
   now_ = now;
   lessor_incarnation_ = next_epoch();
--- a/src/quota/messages.hpp
+++ b/src/quota/messages.hpp
@@ -71,7 +71,8 @@
   // Numbered like epochs: a later lessor incarnation has a larger number.
   std::uint64_t lessor_incarnation = 0;
   std::uint64_t epoch = 0;
-  std::uint64_t probe = 0;         // echoed: renews the lease as of that time of sending; 0: no renewal
+  // Echo of the lessee's probe: renews the lease as of the time at which the lessee sent it; 0: no renewal.
+  std::uint64_t probe = 0;
   std::uint64_t grants_taken = 0;  // number of the last grant processed, whether registered or refused
   std::vector<Refund> refunds;
   std::vector<OfferedPart> parts;
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -536,7 +536,7 @@
     lessor.tick(now);
   }
   EXPECT_EQ(lessor.counters().revoked_tasks, 8u);
-  EXPECT_EQ(lessor.ledger().grant(1), nullptr);
+  EXPECT_EQ(lessor.ledger().find_grant(1), nullptr);
 }
 
 TEST_F(LessorTest, RefundsOnceTheJobIsOffItsMachines) {
@@ -550,13 +550,13 @@
   views[1] = {JobView::State::kOver, 0, 4};
   now += 0.3;
   lessor.tick(now);
-  EXPECT_NE(lessor.ledger().grant(1), nullptr);
+  EXPECT_NE(lessor.ledger().find_grant(1), nullptr);
   lessor.refunded(job(1, 4, 1), 4);
   now += 0.3;
   lessor.tick(now);
   now += 0.3;
   lessor.tick(now);
-  EXPECT_EQ(lessor.ledger().grant(1), nullptr);
+  EXPECT_EQ(lessor.ledger().find_grant(1), nullptr);
   EXPECT_EQ(lessor.counters().refunds, 1u);
 }
 
