--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -135,7 +135,7 @@
   std::vector<Reservation> reservations;
   std::uint64_t attempt = 0;
   double gang_since = 0;                     ///< when the current gang state began
-  double stop_first = 0;                     ///< when its orderly stop began
+  double stop_first = 0;                     ///< unused; meant for the time when its graceful stop began
   const char* logged_wait_reason = nullptr;  ///< the last logged reason for waiting
   bool was_placed = false;                   ///< it has had a run or reservation under this leader
   bool queued = false;                       ///< in its team's queue (arrays only)
@@ -154,7 +154,7 @@
   int tier = 0;
 
   std::uint32_t remaining() const { return spec.tasks - done_count; }
-  /// Number of tasks that are neither done nor on a machine.
+  /// Number of tasks that are neither done nor in `runs`.
   std::uint32_t unplaced() const;
   /// Whether none of its tasks may be placed any more.
   bool over() const { return state != JobState::kActive && state != JobState::kWaiting; }
--- a/src/bookkeeping/job_ledger.hpp
+++ b/src/bookkeeping/job_ledger.hpp
@@ -19,15 +19,15 @@
 
 /// Owns the jobs in memory, by id.
 ///
-/// On a leader it holds the jobs that are not over (those that other controllers admit, once it has read
-/// their live records), and jobs that are over while a machine may still hold tasks of them or their
-/// cancellation is not on record. On other controllers it holds no jobs. Every controller has a bounded cache
-/// of final states.
+/// On a leader it holds the jobs that are not over, and jobs that are over while a machine may still hold
+/// tasks of them or their cancellation is not on record. A job that another controller admits is added once
+/// the leader has read its live record. On other controllers the ledger holds no jobs. Every controller has a
+/// bounded cache of final states.
 class JobLedger {
  public:
   /// Removes the jobs at the end of a leader's term. Final states are immutable and are kept.
   void clear();
-  /// The job, or null. Valid until the job is erased or added again.
+  /// The job, or null. Valid until the job is erased or added again, or the ledger is cleared.
   Job* find(JobId id);
   /// Adds a newly admitted job and replaces one with the same id. A job with dependencies starts as kWaiting.
   Job& add(JobSpec spec, std::uint64_t mod_revision, std::int64_t submitted_ms, double now);
--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -85,26 +85,26 @@
   std::vector<PendingClear> clears;
   /// Tasks in its last heartbeat that should not run there. They are to be stopped.
   std::vector<protocol::TaskStatus> unknown_tasks;
-  /// What these tasks charge to each team: cpus, gpus.
+  /// What `unknown_tasks` charge to each team: cpus, gpus.
   std::map<std::string, std::pair<double, double>> unknown_task_charge;
   std::uint32_t gang_tasks = 0;  ///< number of tasks here that belong to gangs
-  double gang_cpus = 0;          ///< cpus that these tasks and the reservations take
+  double gang_cpus = 0;          ///< cpus that gang tasks and gang reservations take here
   /// Attempts started by a direct command in this term and in `direct_agent_epoch`. Such a command may take
   /// effect late or twice, which does nothing while the worker lists the attempt. These attempts are
   /// therefore never cleared. Section "Direct launches".
   std::set<std::pair<TaskId, std::uint64_t>> direct;
   std::uint64_t direct_agent_epoch = 0;
 
-  /// Its heartbeats are not answered after this time until its record no longer says so. A later leader
-  /// computes the end of its lease from this time instead of from the beginning of its own term. Nothing is
-  /// launched on the machine meanwhile.
+  /// Its heartbeats are not answered after this time until its record no longer lists it as unanswered. A
+  /// later leader computes the end of its lease from this time instead of from the beginning of its own term.
+  /// Nothing is launched on the machine meanwhile.
   std::optional<std::int64_t> unanswered_since_ms;
-  /// Whether a record that says so is durable or may be.
+  /// Whether a record that lists the machine as unanswered is durable or may be.
   bool unanswered_on_record = false;
   std::string record;         ///< the record that names it or is to name it; empty: none is assigned yet
   std::string former_record;  ///< also names it until `record` durably does
   bool recorded = false;      ///< durable records name it with an address and not as unanswered
-  std::string recorded_addr;  ///< address in these records
+  std::string recorded_addr;  ///< address in the durable records that name it
   /// Whether `free_resources` is up to date with tasks, reservations and unknown tasks.
   bool free_resources_known = false;
   Resources free_resources;
@@ -114,13 +114,13 @@
   /// Consecutive launches that newer heartbeats show as never received. A restart of its agent soon after an
   /// answer counts as constants::kUndeliveredCommandsMax of them.
   int undelivered_commands = 0;
-  int unproven_answers = 0;             ///< consecutive answers after which it does not show the token
+  int unproven_answers = 0;             ///< consecutive answered heartbeats without the token
   double last_probe_at = -1e9;          ///< time of the last direct command or probe
   int open_probes = 0;                  ///< direct commands and probes in flight
   int probe_failures = 0;               ///< consecutive failures of direct commands and probes
   std::uint64_t agent_epoch_guess = 1;  ///< used to probe a machine that has not shown the token
-  /// Its counters went back. An expired lease then does not end its tasks; the cloud's confirmation of its
-  /// return does.
+  /// The counters of its heartbeats went back. An expired lease then does not end its tasks; the cloud's
+  /// confirmation of its return does.
   bool agent_reset = false;
   /// Its free capacity was offered to the waiting gangs since a run or reservation on it last ended.
   bool offered = false;
--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -119,7 +119,7 @@
   if (!machine.record.empty()) groups_[machine.record].urgent = true;
 }
 
-void MachineLedger::mark_record_outdated(Machine& machine) {
+void MachineLedger::mark_record_for_writing(Machine& machine) {
   if (machine.state == MachineState::kGone) leave_former_record(machine);
   if (machine.record.empty()) return;  // assign_records() marks the record for writing
   auto& group = groups_[machine.record];
@@ -133,7 +133,8 @@
   for (const auto& name : groups_[group].members) {
     Machine* machine = find(name);
     if (machine == nullptr || machine->state == MachineState::kGone) continue;
-    // If the entry does not fit, a later leader computes the lease from the beginning of its own term.
+    // If the unanswered mark does not fit, it is dropped, and a later leader computes the end of the
+    // machine's lease from the beginning of its own term.
     if (machine->unanswered_since_ms) bytes += name.size() + constants::kUnansweredEntryOverheadBytes;
     if (machine->unanswered_since_ms && layout_ == RecordLayout::kBySize && bytes > record_limit_)
       machine->unanswered_since_ms.reset();
@@ -169,7 +170,7 @@
   if (known) {
     // Two records name the machine, because it was being moved. If only one of them lists it as unanswered,
     // its heartbeats may have been answered since.
-    name_by_second_record(machine, group);
+    resolve_second_record(machine, group);
     if (!entry.unanswered_since_ms) machine.unanswered_since_ms.reset();
   } else {
     set_record(machine, group);
@@ -199,7 +200,7 @@
 
 // Assigns a machine that two records name to the record by size, or to `group` if both are. That record is
 // written again before the other one may be deleted.
-void MachineLedger::name_by_second_record(Machine& machine, const std::string& group) {
+void MachineLedger::resolve_second_record(Machine& machine, const std::string& group) {
   const std::string former = is_numbered(group) ? group : machine.record;
   if (!is_numbered(group)) set_record(machine, group);
   if (former == machine.record) return;
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -32,7 +32,8 @@
   void clear();
   /// The machine, or null. Valid until it is erased.
   Machine* find(const std::string& name);
-  /// Adds a machine, or returns the existing one of that name with `known_at` and `idle_since` reset.
+  /// Adds a machine, or returns the existing one of that name with `known_at` and `idle_since` reset. In
+  /// either case its record by number becomes urgent or, in the layout by size, assign_records() assigns one.
   Machine& add(const std::string& name, double now);
   /// Removes the machine, also from its groups. The groups are not marked for writing.
   void erase(const std::string& name);
@@ -50,10 +51,11 @@
   static void set_state(Machine& machine, MachineState state);
 
   /// Switches to the layout by size, with records of at most `limit` bytes. Machines move out of the numbered
-  /// records; each of these is kept until other records name all its machines. `term` is the term of this
-  /// leader; it is part of the names of new records, so that two leaders never choose the same name.
+  /// records; each of these is kept until other records name all its machines that are not gone. `term` is
+  /// the term of this leader; it is part of the names of new records, so that two leaders never choose the
+  /// same name.
   void lay_out_by_size(std::size_t limit, std::uint64_t term);
-  /// Assigns records to the machines that have none.
+  /// Assigns records to the machines that have none and are not gone.
   void assign_records();
   /// Records that the group's record, which names the machine, was written.
   void on_record_written(Machine& machine, const std::string& group);
@@ -66,16 +68,17 @@
   static std::string group_of(const std::string& name);
   static std::string group_key(const std::string& group) { return machine_record_key(group); }
   /// Marks the machine's record for writing, because the machine is gone or a recorded field has changed.
-  void mark_record_outdated(Machine& machine);
+  void mark_record_for_writing(Machine& machine);
   /// Stops answering its heartbeats. `since_ms` is the time of day of the latest answer it can have received.
   void set_unanswered(Machine& machine, std::int64_t since_ms);
   /// Allows its heartbeats to be answered again as soon as its record says so.
   void clear_unanswered(Machine& machine);
   /// The value that the leader of `term` writes for the group. Adds to `launchable` the machines that it
-  /// does not list as unanswered; on those with an address, tasks may be launched once it is written. A
-  /// machine listed as unanswered counts as recorded so at once. If that mark exceeds the size limit of the
-  /// layout by size, the machine stops being unanswered, and a later leader computes its lease from the
-  /// beginning of its own term, which takes longer.
+  /// names and does not list as unanswered; on those with an address, tasks may be launched once the record
+  /// is written. For a machine listed as unanswered, `unanswered_on_record` is set at once. If listing a
+  /// machine so would exceed the size limit of the layout by size, the machine stops being unanswered. A
+  /// later leader then computes the end of the machine's lease from the beginning of its own term, which is
+  /// later.
   boost::json::object group_record(const std::string& group, std::uint64_t term,
                                    std::vector<std::string>& launchable);
   /// Adds the machines of a record, as unreconciled if they have an address. Unanswered marks that leaders of
@@ -92,7 +95,7 @@
   void move_to_sized_records();
   void leave_former_record(Machine& machine);
   void set_record(Machine& machine, const std::string& group);
-  void name_by_second_record(Machine& machine, const std::string& group);
+  void resolve_second_record(Machine& machine, const std::string& group);
 
   RecordLayout layout_ = RecordLayout::kByNumber;
   std::size_t record_limit_ = 0;   // maximum size of a record by size, in bytes
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -18,8 +18,8 @@
 
 constexpr int kMsPerSecond = 1000;
 
-// Requests that the budget must cover before a queued call is sent: the call itself, and one in reserve for
-// a write, since users wait for their submissions.
+// Requests that the budget must cover before a queued call of kNormal is sent: the call itself, and one in
+// reserve for a write, since users wait for their submissions.
 constexpr double kRequestsForQueued = 2;
 
 }  // namespace
@@ -84,8 +84,8 @@
 
 void StateClient::send_queued() {
   while (!normal_queue_.empty()) {
-    // The caller has probably given up by now. Without this, a flood of polls would spend the budget on
-    // unused answers.
+    // The caller of a call that has waited this long has probably given up. Without this check, a flood of
+    // polls would spend the budget on unused answers.
     if (now_ - normal_queue_.front().since > constants::kStateCallTimeoutS) {
       const auto answered = std::move(normal_queue_.front().answered);
       normal_queue_.pop_front();
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -16,7 +16,8 @@
 
 namespace robinford::bookkeeping {
 
-/// Sends calls to the state service, each as soon as this controller's share of the budget covers it.
+/// Sends calls to the state service, each as soon as this controller's share of the budget covers it. Lease
+/// calls and watches are sent at once.
 ///
 /// Guarantees:
 ///  - Each callback is called exactly once, and not before the function that received it has returned. This
@@ -61,9 +62,10 @@
   /// are any, or none after constants::kWatchWaitS. A watch never waits for budget.
   void watch(const std::string& prefix, std::uint64_t after, std::function<void(const WatchResult&)> done);
 
-  /// Number of 400 and 429 answers of the service. Neither is expected as long as the settings match its
+  /// Number of calls that the service answered with 400. None are expected as long as the settings match its
   /// limits.
   std::uint64_t rejected() const { return rejected_; }
+  /// Number of calls that the service answered with 429.
   std::uint64_t throttled() const { return throttled_; }
   /// Factor on the rates of this controller's budget, at most 1. A 429 of the service reduces it for a time.
   double pace() const { return pace_; }
--- a/src/bookkeeping/store_keys.hpp
+++ b/src/bookkeeping/store_keys.hpp
@@ -33,10 +33,10 @@
 /// "Cancellations".
 inline constexpr char kLiveJobPrefix[] = "j/";
 
-/// One record for each job that is over, with its final state; that of a job that was cancelled through a
-/// dependency may be written later. Created on condition that none exists, by the leader or by a controller
-/// that cancels the job or admits it as cancelled. Never changed or deleted, so that a finished job cannot be
-/// admitted again.
+/// One record for each job that is over, with its final state; for a job that was cancelled through a
+/// dependency, it may be written some time after the cancellation of the dependency. Created on condition
+/// that none exists, by the leader or by a controller that cancels the job or admits it as cancelled. Never
+/// changed or deleted, so that a finished job cannot be admitted again.
 inline constexpr char kFinalJobPrefix[] = "f/";
 
 /// Machines that may exist, several per record (machine_record.hpp). Written and deleted, guarded, only by
@@ -47,8 +47,8 @@
 /// The change log: one entry for each live record that a controller other than the leader creates, or that is
 /// marked cancelled other than through the leader's ledger. Created in the same transaction as the change.
 /// Keys are unique by incarnation and sequence number. Deleted, guarded, by the leader: at once if the entry
-/// is older than the job records that it loads, since they contain the change, otherwise when it handles the
-/// entry. Section "Cancellations".
+/// is older than the job records that a new leader loads, since they contain the change, otherwise when the
+/// leader handles the entry. Section "Cancellations".
 inline constexpr char kChangeLogPrefix[] = "n/";
 
 /// One record for each member: the feature level and incarnation of its running process, and whether it
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -128,7 +128,7 @@
   }
 }
 
-// The first unit always fits. If it is too large, the service rejects it.
+// Whether the unit may join the batch. The first unit always may; if it is too large, the service rejects it.
 bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
   if (batch.units.empty()) return true;
   return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_limit() &&
@@ -253,8 +253,9 @@
   requeue(again);
 }
 
-// The service has a lower limit than the settings say. Later transactions are smaller, and each unit of this
-// one is sent alone. A unit that is rejected alone can never be accepted.
+// Either the service has a lower limit than the settings say, or one unit is at fault. Later transactions are
+// therefore smaller, and each unit of the rejected one is sent alone. A unit that is rejected alone can never
+// be accepted.
 void TxnWriter::on_malformed(const std::vector<UnitPtr>& units) {
   if (units.size() == 1) {
     spdlog::error("the state service refuses a change of {} that was sent alone",
@@ -273,9 +274,9 @@
   requeue(units);
 }
 
-// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either the first attempt
-// was committed, or another writer changed the key. The mark in the value, or the absence of a deleted key,
-// shows which.
+// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either an unanswered
+// attempt was committed, or another writer changed the key. The mark in the value, or the absence of a
+// deleted key, shows which.
 void TxnWriter::settle_by_reading(const UnitPtr& unit) {
   const WriteOp* probe = nullptr;
   for (const auto& op : unit->ops)
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -92,7 +92,7 @@
     machine.spot = heartbeat.spot;
     set_capacity_from_catalog(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_for_writing(machine);
   record_liveness(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -125,7 +125,7 @@
     machine.spot = heartbeat.spot;
     set_capacity_from_catalog(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_for_writing(machine);
   // The machine was answered with this leader's token several times and still does not send it, so the
   // answers probably do not reach the machine.
   if (++machine.unproven_answers >= c::kUnprovenAnswersMax) probe_if_suspect(machine);
--- a/src/coordination/leader/machine_liveness.cpp
+++ b/src/coordination/leader/machine_liveness.cpp
@@ -140,7 +140,7 @@
         machine.lost / cpu_seconds_percent, machine.fetching / cpu_seconds_percent);
   }
   machine.direct.clear();
-  context_.machines.mark_record_outdated(machine);
+  context_.machines.mark_record_for_writing(machine);
 }
 
 }  // namespace robinford::coordination
--- a/tests/bookkeeping/machine_records_test.cpp
+++ b/tests/bookkeeping/machine_records_test.cpp
@@ -177,7 +177,7 @@
   ledger.lay_out_by_size(kLimit, kTerm);
   Machine& gone = *ledger.find(name_of(0));
   MachineLedger::set_state(gone, MachineState::kGone);
-  ledger.mark_record_outdated(gone);
+  ledger.mark_record_for_writing(gone);
   ledger.assign_records();
   write_all(ledger, records);
   write_all(ledger, records);
