--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -20,7 +20,8 @@
 constexpr char kMarkField[] = "w";
 constexpr std::size_t kOpBytes = 160;  // of one change in a transaction, apart from its key and value
 constexpr std::size_t kKeysInOp = 2;   // both the condition and the change contain the key
-constexpr std::size_t kBackgroundQueueDivisor = 4;  // background units may fill this fraction of the queue
+// Background units are refused once the queue has reached its limit divided by this.
+constexpr std::size_t kBackgroundQueueDivisor = 4;
 
 std::uint64_t revision_of(const json::object& body) {
   const auto* revision = body.if_contains(n::kRevision);
@@ -122,12 +123,12 @@
   while (!paused_ && now >= not_before_ && in_flight_ < constants::kTxnsInFlightMax && !queue_.empty()) {
     auto batch = take_batch();
     if (batch.units.empty()) return;
-    if (!state_.writes_ready(static_cast<int>(batch.ops))) return requeue(batch.units);
+    if (!state_.can_send_writes_now(static_cast<int>(batch.ops))) return requeue(batch.units);
     send(std::move(batch.units));
   }
 }
 
-// The first unit always fits. If it is too large, the service rejects it.
+// Whether the unit may join the batch. The first unit always may; if it is too large, the service rejects it.
 bool TxnWriter::fits(const Batch& batch, const Unit& unit) const {
   if (batch.units.empty()) return true;
   return !unit.alone && !batch.units.front()->alone && batch.ops + unit.ops.size() <= ops_limit() &&
@@ -252,8 +253,9 @@
   requeue(again);
 }
 
-// The service has a lower limit than the settings say. Later transactions are smaller, and each unit of this
-// one is sent alone. A unit that is rejected alone can never be accepted.
+// Either the service has a lower limit than the settings say, or one unit is at fault. Later transactions are
+// therefore smaller, and each unit of the rejected one is sent alone. A unit that is rejected alone can never
+// be accepted.
 void TxnWriter::on_malformed(const std::vector<UnitPtr>& units) {
   if (units.size() == 1) {
     spdlog::error("the state service refuses a change of {} that was sent alone",
@@ -272,9 +274,9 @@
   requeue(units);
 }
 
-// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either the first attempt
-// was committed, or another writer changed the key. The mark in the value, or the absence of a deleted key,
-// shows which.
+// Resolves a unit whose conditions failed at a retry after an unanswered attempt: either an unanswered
+// attempt was committed, or another writer changed the key. The mark in the value, or the absence of a
+// deleted key, shows which.
 void TxnWriter::settle_by_reading(const UnitPtr& unit) {
   const WriteOp* probe = nullptr;
   for (const auto& op : unit->ops)
@@ -293,7 +295,7 @@
 }
 
 void TxnWriter::on_settling_read(const UnitPtr& unit, bool deleting, const StateRead& read) {
-  // Still unresolved: the retry fails its conditions again and returns here.
+  // Still unresolved: if the conditions of the retry fail again, the unit is settled once more.
   if (read.found == StateRead::Found::kUnknown) return requeue_after_pause({unit});
   bool carried_out = deleting && read.found == StateRead::Found::kNo;
   if (!deleting && read.found == StateRead::Found::kYes && read.value.is_object()) {
--- a/src/coordination/election/peer_versions.hpp
+++ b/src/coordination/election/peer_versions.hpp
@@ -19,26 +19,27 @@
   /// Tracks the peers named in the settings. `context` must outlive this object.
   explicit PeerVersions(ControllerContext& context);
 
-  /// Registers this process, then reads the registry until the running process of every peer is registered.
+  /// Registers this process, then reads the registry until every peer has registered, and each peer whose
+  /// status was received has registered its running process.
   void tick();
   /// Notes the incarnation in the member's latest status.
   void observe(const std::string& member, std::uint64_t incarnation);
   /// Whether the member's running process is known to support dependencies.
   bool understands_dependencies(const std::string& member) const;
-  /// Whether the member's running process grants quota leases when it leads.
+  /// Whether the running process of a peer grants quota leases when it leads; false for this member.
   bool serves_quota_leases(const std::string& member) const;
   /// Registers this process as one that grants quota leases when it leads. Must be called before the first
   /// tick.
   void offer_quota_leases() { offers_quota_leases_ = true; }
-  /// Whether every peer has registered at least once. The rolling upgrade is then complete, and this process
-  /// keeps regarding it so.
+  /// Whether every peer has registered at least once with a version that supports dependencies. The rolling
+  /// upgrade is then complete, and this process keeps regarding it so.
   bool upgrade_complete() const { return upgrade_complete_; }
 
  private:
   struct Member {
     std::uint64_t registered_incarnation = 0;  ///< of the process that registered last; 0: none yet
     std::uint64_t latest_incarnation = 0;      ///< in the member's latest status; 0: none received yet
-    bool quota_leases = false;                 ///< the registered process grants them when it leads
+    bool quota_leases = false;                 ///< the registered process grants quota leases when it leads
   };
   void register_self();
   void write_registration(std::uint64_t mod_revision);
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -19,12 +19,12 @@
       scale_in_(context, scheduler) {}
 
 void Fleet::begin() {
-  cloud_.begin();
+  cloud_.begin_term();
   zones_.clear();
   next_review_ = 0;
 }
 
-void Fleet::end() { cloud_.end(); }
+void Fleet::end() { cloud_.end_term(); }
 
 void Fleet::tick() {
   cloud_.refill_budget();
@@ -55,7 +55,8 @@
   scale_in_.remove_stale_machines();
 }
 
-// Queues several requests at once for a large shortage, but none for a pool that still has an unanswered one.
+// Queues several requests at once for a large shortage, but none for a pool with a request that has no final
+// answer yet.
 void Fleet::provision(const PoolCounts& missing) {
   for (const auto& [pool, count] : missing)
     if (!cloud_.has_request(pool))
--- a/src/coordination/leader/change_log.cpp
+++ b/src/coordination/leader/change_log.cpp
@@ -36,7 +36,7 @@
 ChangeLog::ChangeLog(ControllerContext& context, const Election& election, Events events)
     : context_(context), election_(election), events_(std::move(events)) {}
 
-WriteOp ChangeLog::entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
+WriteOp ChangeLog::make_entry(JobId id, std::uint64_t incarnation, std::uint64_t sequence, bool cancelled) {
   boost::json::object value;
   if (cancelled) value[bookkeeping::kEntryCancelled] = true;
   return {kPrefix + protocol::job_id_text(id) + "." + std::to_string(incarnation) + "." +
@@ -62,9 +62,9 @@
   for (const auto& done : waiting) done(false);
 }
 
-// Entries that exist before the jobs are read are only deleted, since the job records already contain their
-// changes. The watch starts at the revision of the first page, so no later entry is missed. After a restart
-// of all controllers there may be more than one page.
+// Deletes, without acting on them, the entries that exist before the jobs are read, since the job records
+// already contain their changes. The watch starts at the revision of the first page, so no later entry is
+// missed. After a restart of all controllers there may be more than one page.
 void ChangeLog::load(const std::string& after, std::uint64_t watch_from, Done done) {
   context_.state.list(kPrefix, after,
                       [this, after, watch_from, done = std::move(done),
@@ -87,9 +87,11 @@
                          for (const auto& event : result.events) handle_event(event);
                          if (result.complete()) return watch(std::max(after, result.revision));
                          if (result.outcome == bookkeeping::WatchResult::Outcome::kTooOld)
-                           return events_.entries_missed();  // the changes since then are unknown
-                         // No answer: waits for a read to complete, then watches again from the same
-                         // revision.
+                           // The changes after revision `after` were compacted and can't be read any more.
+                           return events_.entries_missed();
+                         // The watch got no usable answer: reads the term record, only to learn when the
+                         // state service answers, and watches again from revision `after` once that read
+                         // was answered or has failed.
                          context_.state.read(
                              bookkeeping::kTermKey,
                              [this, after, generation](const bookkeeping::StateRead&) {
@@ -110,8 +112,8 @@
   delete_entry(event.key, event.mod_revision);
 }
 
-// Deletes an entry. A deletion that is refused because too many writes are queued is retried later, since a
-// remaining entry would be read by every later leader.
+// Deletes an entry. A deletion that is refused, usually because too many writes are queued, is retried later,
+// since each read of the log would return the remaining entry again.
 void ChangeLog::delete_entry(const std::string& key, std::uint64_t mod_revision) {
   context_.writer.submit(
       {{key, mod_revision, std::nullopt}},
@@ -154,8 +156,9 @@
   read("");
 }
 
-// Reads the log from the entry `after` on. A complete read proves up to which time all cancellations by other
-// controllers are known here. The entries are deleted when the watch reports them.
+// Reads the entries whose keys follow `after`. A complete read and a renewal of the leader key together show
+// up to which time all cancellations by other controllers are known here. The entries are deleted when
+// the watch reports them.
 void ChangeLog::read(const std::string& after) {
   context_.state.list(kPrefix, after,
                       [this, generation = generation_](const std::optional<bookkeeping::StatePage>& page) {
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -20,9 +20,9 @@
  public:
   /// Callbacks for the changes on which the leader acts.
   struct Events {
-    std::function<void(bookkeeping::Job&)> ready;      // all its dependencies are done
-    std::function<void(bookkeeping::Job&)> cancelled;  // one of its dependencies is cancelled
-    std::function<void(protocol::JobId)> admitted;  // accepted by another controller, not in the ledger yet
+    std::function<void(bookkeeping::Job&)> ready;      // all dependencies of the job are done
+    std::function<void(bookkeeping::Job&)> cancelled;  // a dependency of the job is cancelled
+    std::function<void(protocol::JobId)> admitted;  // the dependency was accepted, is not in the ledger yet
   };
   /// The references must outlive the object.
   Dependencies(ControllerContext& context, JobLookup& lookup, Events events);
@@ -57,7 +57,7 @@
   std::set<protocol::JobId> unknown_;  // dependencies that are neither in the ledger nor known to be over
   std::set<protocol::JobId> reading_;  // dependencies whose records are being read
   std::set<protocol::JobId> missing_;  // dependencies of which there is no record
-  std::uint64_t generation_ = 0;       // counts terms, to ignore answers that belong to an earlier one
+  std::uint64_t generation_ = 0;       // changed by `clear`, so that answers from an earlier term are ignored
   double next_read_ = 0;
 };
 
--- a/src/coordination/leader/direct_launches.cpp
+++ b/src/coordination/leader/direct_launches.cpp
@@ -67,12 +67,13 @@
   requeue_gangs_reserving_on(machine);
 }
 
-// Applies a worker's answer that carries this leader's token. It proves as much as a heartbeat, except that a
-// launch in the answer to the worker's last own heartbeat may still be in flight.
+// Applies a worker's answer that carries this leader's token. It is treated like a heartbeat, except
+// that a task missing from it may still start: a launch in the answer to the worker's last own heartbeat may
+// still be in flight.
 void Scheduler::direct_command_answered(Machine& machine, const Heartbeat& heartbeat) {
   if (!machine.showed_token || MachineLedger::newer(machine, heartbeat.agent_epoch, heartbeat.seq))
     apply_heartbeat(machine, heartbeat, HeartbeatSource::kDirectAnswer);
-  if (may_place()) check_reserving_gangs(machine);
+  if (may_place()) advance_gangs_reserving_on(machine);
 }
 
 // The agent's counters went back while this leader knew the machine, so the agent was reset: its tasks are
@@ -95,9 +96,9 @@
   }
 }
 
-// Checks the gangs with reservations on the machine, and launches those whose reservations are now all
-// confirmed.
-void Scheduler::check_reserving_gangs(Machine& machine) {
+// Advances the gangs with reservations on the machine: launches those whose reservations are now all
+// confirmed, and queues those again whose reservations have expired.
+void Scheduler::advance_gangs_reserving_on(Machine& machine) {
   const auto holders = machine.reservations;  // a copy: launching changes the list
   for (const auto id : holders)
     if (Job* job = context_.jobs.find(id); job != nullptr && job->state == JobState::kActive)
--- a/src/coordination/leader/heartbeat_evidence.cpp
+++ b/src/coordination/leader/heartbeat_evidence.cpp
@@ -66,15 +66,15 @@
   handle_unmatched_tasks(machine, shown, ended_tasks);
   for (const auto& task : heartbeat.tasks) {
     // For a task that is listed twice, clears the exited entry that was not used above.
-    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear(machine, task);
+    if (shown.at(task.task) != &task && task.phase == TaskPhase::kExited) queue_clear_command(machine, task);
   }
   confirm_reservations(machine);
   cancelled_work_.update(machine);
 }
 
 void Scheduler::on_agent_restart(Machine& machine) {
-  // The agent's lease expired although its last heartbeat was answered less than half a lease ago: the
-  // answers do not reach the machine.
+  // The agent started a new epoch, as it does when its lease expires, although a heartbeat of the machine was
+  // answered less than half a lease ago: the answers may not reach the machine.
   if (context_.now.steady - machine.last_answer < context_.settings.lease_s * 0.5)
     record_undelivered(machine, c::kUndeliveredCommandsMax);
   // The worker refuses commands that are addressed to the previous agent epoch.
@@ -92,7 +92,7 @@
     machine.spot = heartbeat.spot;
     set_capacity_from_catalog(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_for_writing(machine);
   record_liveness(machine, heartbeat.agent_epoch, heartbeat.seq);
   const bool had_interruption_notice = machine.interruption_at.has_value();
   machine.interruption_at = heartbeat.interruption_notice_s
@@ -115,7 +115,7 @@
   // No heartbeat has listed the run yet. A direct launch may still be carried out while the agent epoch that
   // it was addressed to lasts. A launch in a heartbeat answer has failed once the worker itself sends a
   // heartbeat newer than the answered one, because the worker takes or discards an answer before it sends its
-  // next heartbeat. The answer to a direct command does not prove this, since the launch may still be in
+  // next heartbeat. The answer to a direct command does not imply this, since the launch may still be in
   // flight.
   const bool launch_failed = run.direct ? machine.agent_epoch > run.launch_agent_epoch
                                         : context.source == HeartbeatSource::kWorker &&
@@ -132,7 +132,7 @@
 // Updates a run from its status in the heartbeat. Returns true if the run has exited.
 bool Scheduler::update_reported_run(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
   TaskRun& run = job.runs.at(index);
-  if (!run.seen) {  // the launch reached the machine
+  if (!run.seen) {  // the first heartbeat that lists the run shows that its launch reached the machine
     machine.undelivered_commands = 0;
     machine.probe_failures = 0;
   }
@@ -182,7 +182,7 @@
 
 // Queues a clear command for an exited task. An attempt that was launched by a direct command is not cleared,
 // because a duplicate of that command could then start it again.
-void Scheduler::queue_clear(Machine& machine, const TaskStatus& task) {
+void Scheduler::queue_clear_command(Machine& machine, const TaskStatus& task) {
   if (!machine.direct.contains({task.task, task.attempt}))
     machine.clears.push_back({task.task, task.attempt});
 }
@@ -190,7 +190,7 @@
 void Scheduler::handle_unmatched_task(Machine& machine, const TaskStatus& task) {
   Job* job = context_.jobs.find(task.task.job);
   if (task.phase == TaskPhase::kExited) {
-    queue_clear(machine, task);
+    queue_clear_command(machine, task);
     if (job == nullptr || job->state != JobState::kActive || task.exit_reason != ExitReason::kDone ||
         task.task.index >= job->spec.tasks)
       return;
@@ -228,7 +228,7 @@
   } else {
     job.mark_done(index);
   }
-  if (job.done_count == job.spec.tasks) complete(job);
+  if (job.done_count == job.spec.tasks) begin_completion(job);
 }
 
 void Scheduler::handle_task_exit(Machine& machine, Job& job, std::uint32_t index, const TaskStatus& task) {
@@ -243,11 +243,11 @@
                   machine.name, protocol::to_text(task.exit_reason), task.saved ? ", saved" : "");
   if (task.exit_reason == ExitReason::kDone) {
     handle_task_success(machine, job, index, run);
-    queue_clear(machine, task);
+    queue_clear_command(machine, task);
     context_.metrics.count("tasks_done");
     return;
   }
-  queue_clear(machine, task);
+  queue_clear_command(machine, task);
   if (job.over()) return;
   delay_next_attempt(machine, job, task.exit_reason);
   if (!job.spec.gang) {
@@ -268,7 +268,8 @@
   if (job.state == JobState::kActive) record_result(job, index);
 }
 
-// Sets which machine the job avoids and how long it backs off after one of its tasks ended without a result.
+// After a task of the job has ended without a result on the machine: depending on the reason, makes the job
+// avoid the machine for a while, back off, both or neither.
 void Scheduler::delay_next_attempt(Machine& machine, Job& job, ExitReason reason) {
   const double now = context_.now.steady;
   switch (reason) {
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -104,7 +104,7 @@
 void Scheduler::serve_machine(std::uint64_t key, Machine& machine) {
   if (may_place() && machine.state == MachineState::kUp) {
     // If this heartbeat confirms the last reservation of a gang, its answer can already carry the launch.
-    check_reserving_gangs(machine);
+    advance_gangs_reserving_on(machine);
     place_arrays(machine);
   }
   answer_heartbeat(machine, key);
@@ -125,7 +125,7 @@
     machine.spot = heartbeat.spot;
     set_capacity_from_catalog(machine);
   }
-  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_outdated(machine);
+  if (machine.recorded_addr != machine.addr) context_.machines.mark_record_for_writing(machine);
   // The machine was answered with this leader's token several times and still does not send it, so the
   // answers probably do not reach the machine.
   if (++machine.unproven_answers >= c::kUnprovenAnswersMax) probe_if_suspect(machine);
@@ -158,8 +158,8 @@
   round_requested_ = true;
 }
 
-// Confirms the reservations that were made before this heartbeat arrived: it shows that the capacity is still
-// free.
+// Confirms the reservations that were made before this heartbeat arrived. Their capacity is not compared with
+// the tasks that the heartbeat lists, so a heartbeat that brought unknown tasks confirms them as well.
 void Scheduler::confirm_reservations(Machine& machine) {
   for (const auto id : machine.reservations) {
     Job* job = context_.jobs.find(id);
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -16,8 +16,8 @@
 
 /// Keeps the machine records of the state service up to date with the machine ledger. A machine has to be on
 /// record with its address before anything is launched there, so that a new leader knows where to look for
-/// running tasks. Each record is written with a compare-and-swap; a conflict means that another leader wrote
-/// it, and ends this leadership.
+/// running tasks. Each record is written with a compare-and-swap. A conflict means that the stored record is
+/// not the one that this leader expected, and ends this leadership.
 class MachineRecordWriter {
  public:
   /// The references must outlive the writer.
@@ -30,10 +30,10 @@
   /// leadership is not valid.
   void write_due();
 
-  /// Whether a record was written since the last `clear_written`, so that machines may have become
+  /// Whether a record was written since the last `reset_written_flag`, so that machines may have become
   /// launchable.
   bool written() const { return written_; }
-  void clear_written() { written_ = false; }
+  void reset_written_flag() { written_ = false; }
 
  private:
   // The content of a record once the write in flight has succeeded.
@@ -50,7 +50,7 @@
   ControllerContext& context_;
   Election& election_;
   const PeerVersions& versions_;
-  std::uint64_t generation_ = 0;  // counts terms, to ignore answers that belong to an earlier one
+  std::uint64_t generation_ = 0;  // changed by `reset`, so that answers from an earlier term are ignored
   bool written_ = false;
 };
 
--- a/src/coordination/routing/change_log_entries.hpp
+++ b/src/coordination/routing/change_log_entries.hpp
@@ -14,11 +14,11 @@
  public:
   explicit ChangeLogEntries(std::uint64_t incarnation) : incarnation_(incarnation) {}
 
-  bookkeeping::WriteOp admission(protocol::JobId id) {
-    return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/false);
+  bookkeeping::WriteOp make_admission_entry(protocol::JobId id) {
+    return ChangeLog::make_entry(id, incarnation_, ++written_, /*cancelled=*/false);
   }
-  bookkeeping::WriteOp cancellation(protocol::JobId id) {
-    return ChangeLog::entry(id, incarnation_, ++written_, /*cancelled=*/true);
+  bookkeeping::WriteOp make_cancellation_entry(protocol::JobId id) {
+    return ChangeLog::make_entry(id, incarnation_, ++written_, /*cancelled=*/true);
   }
 
  private:
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -29,7 +29,7 @@
   /// Result of processing a status.
   enum class StatusOutcome : std::uint8_t {
     kApplied,
-    kOutdated,  ///< sent by an earlier process than the one known
+    kOutdated,  ///< its incarnation and its term are both lower than the ones known
   };
 
   explicit PeerTable(const protocol::Settings& settings);
@@ -40,7 +40,8 @@
   bool is_ready(const std::string& member) const { return peers_.at(member).ready; }
 
   void link_up(const std::string& member) { peers_[member].linked = true; }
-  /// Also clears the time of last contact, so that the peer is not fresh before its next status.
+  /// Marks the link as down and clears the time of last contact, so that the peer is not fresh before its
+  /// next status.
   void link_down(const std::string& member);
   /// Stores the status of a known member.
   StatusOutcome apply_status(const protocol::PeerMessage& status, double now);
@@ -64,7 +65,8 @@
 
  private:
   static constexpr double kNever = -1e9;
-  /// Returns the seconds since the last status of the peer.
+  /// Returns the seconds since the last status of the peer; very large if there was none since its link went
+  /// down.
   static double seconds_since_contact(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -26,7 +26,7 @@
   const bool due = round_requested_ || placements_.capacity_freed() || machine_records_.written();
   round_requested_ = false;
   placements_.clear_capacity_freed();
-  machine_records_.clear_written();
+  machine_records_.reset_written_flag();
   return due;
 }
 
@@ -75,8 +75,9 @@
   Job* job;
 };
 
-// Whether `spec` cannot be placed if `failed` could not: it requires at least as many resources and tasks,
-// and has the same placement constraints.
+// Whether `spec` is assumed not to fit in this round either after `failed` did not: it requires at least as
+// many resources and tasks, and has the same placement constraints. Machines that only the failed gang had to
+// avoid are not considered.
 bool asks_no_less(const JobSpec& spec, const JobSpec& failed) {
   return failed.cpus <= spec.cpus && failed.gpus <= spec.gpus && failed.memory_gb <= spec.memory_gb &&
          failed.tasks <= spec.tasks && failed.spot == spec.spot && failed.zone == spec.zone &&
@@ -143,7 +144,9 @@
 }
 
 // Withholds the quota that waiting gangs need from the arrays of their teams, also while preemption is still
-// freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve.
+// freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve. Nothing
+// is withheld for gangs that failed on several machines, or that do not fit into the team's limit on cpus
+// beside its other gangs.
 void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
@@ -185,8 +188,8 @@
   return offers;
 }
 
-// Reserves capacity for all tasks of the gang. Returns false if they do not fit. Removes machines that have
-// no free cpus left from `open`.
+// Reserves capacity for all tasks of the gang. Returns false if they do not fit. Removes from `open` the
+// machines that have no free cpus left.
 bool Scheduler::reserve_for_gang(Job& job, std::vector<Offer>& open) {
   auto offers = offers_for(job, open);
   std::uint32_t slots = 0;
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -18,7 +18,8 @@
 /// The machine's capacity minus all runs, reservations and unknown tasks on it. The result is cached in the
 /// machine and recomputed after one of them has changed.
 const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
-/// The same without the cache. Returns zero resources while a task of unknown size is on the machine.
+/// Computes the machine's free resources without the cache: its capacity minus all runs, reservations and
+/// unknown tasks on it. Returns zero resources while a task of unknown size is on the machine.
 Resources compute_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
 /// Whether the job specification allows machines of this type, zone and price model (`spot`).
@@ -33,10 +34,11 @@
   return machine.gang_tasks > 0 || !machine.reservations.empty();
 }
 
-/// Number of the job's tasks in each zone, including reservations and unknown tasks of earlier attempts.
+/// Number of the job's tasks in each zone: runs, reservations, and unknown tasks (see `Placements`) of the
+/// job.
 struct ZoneCount {
   std::map<std::string, std::uint32_t> tasks;
-  std::uint32_t unknown = 0;  // on machines that are not in the ledger: may be in any zone
+  std::uint32_t unknown = 0;  // runs and reservations on machines not in the ledger: may be in any zone
 };
 ZoneCount count_tasks_by_zone(ControllerContext& context, const bookkeeping::Job& job,
                               const std::set<std::string>& unknown_task_machines);
@@ -45,7 +47,7 @@
 bool zone_allowed(const protocol::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
 /// How many more tasks of the job the machine may run under the policy limits `jobs_per_machine` and
-/// `tasks_per_job`. Does not consider free resources.
+/// `tasks_per_job`. Considers neither free resources nor unknown tasks.
 std::uint32_t slots_within_policy(ControllerContext& context, const bookkeeping::Job& job,
                                   const bookkeeping::Machine& machine);
 
@@ -63,7 +65,7 @@
 };
 // Assigns `needed` tasks and up to `extra` more to the offers; returns nothing if the `needed` tasks do not
 // fit. Zones and machines with the most free cpus come first. A gang with `one_zone` stays in one zone, and
-// one with `spread` has at most half of its tasks, rounded up, in each zone.
+// one with `spread` has at most half of `needed`, rounded up, in each zone.
 std::optional<std::vector<Assignment>> map_gang(const protocol::JobSpec& spec, std::vector<Offer> offers,
                                                 std::uint32_t needed, std::uint32_t extra, bool concentrate);
 
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -7,7 +7,7 @@
 namespace {
 std::string wrong_sum(const char* what, const std::string& member, const std::string& team) {
   std::string text(what);
-  return text.append(" of ").append(member).append(", team ").append(team);
+  return text.append(": mismatch in the part of ").append(member).append(", team ").append(team);
 }
 }  // namespace
 
@@ -22,7 +22,7 @@
   return found == leases_.end() ? nullptr : &found->second;
 }
 
-const GrantEntry* LeaseLedger::grant(protocol::JobId job) const {
+const GrantEntry* LeaseLedger::find_grant(protocol::JobId job) const {
   const auto found = grants_.find(job);
   return found == grants_.end() ? nullptr : &found->second;
 }
@@ -53,16 +53,17 @@
   part.revision = revision;
 }
 
-void LeaseLedger::lower_part(const std::string& member, const std::string& team, const Amount& size) {
+void LeaseLedger::shrink_part(const std::string& member, const std::string& team, const Amount& size) {
   auto& part = leases_.at(member).parts.at(team);
-  // What is promised stays, whatever the lessee says: its grants may have been told before.
+  // The part never shrinks below the grants registered from it, whatever size the lessee reports: those
+  // grants may have arrived before the report.
   const Amount lower = larger(part.promised, smaller(part.size, size));
   change_exposure(team, lower - part.size);
   part.size = lower;
   part.keep = smaller(part.keep, lower);
 }
 
-bool LeaseLedger::add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t running,
+bool LeaseLedger::add_grant(const std::string& member, const NewGrant& new_grant, std::uint32_t placed,
                             double now) {
   if (grants_.contains(new_grant.job) || new_grant.tasks == 0 || new_grant.each.is_zero()) return false;
   auto* lease = find(member);
@@ -74,7 +75,7 @@
   if (!covers(part.size, part.promised + need)) return false;
   part.promised += need;
   auto& grant = grants_[new_grant.job];
-  grant = {member, new_grant.team, new_grant.tasks, new_grant.each, running, now, false};
+  grant = {member, new_grant.team, new_grant.tasks, new_grant.each, placed, now, false};
   set_covered(grant, 0);
   return true;
 }
@@ -94,26 +95,26 @@
   if (grant.tasks == 0) grants_.erase(found);
 }
 
-void LeaseLedger::refuse(const std::string& member, const NewGrant& new_grant) {
+void LeaseLedger::queue_refusal(const std::string& member, const NewGrant& new_grant) {
   auto& lease = leases_.at(member);
   lease.refunds.push_back({++lease.refunds_made, new_grant.job, new_grant.tasks});
 }
 
-void LeaseLedger::acknowledged(LeaseEntry& lease, std::uint64_t refunds_taken) {
+void LeaseLedger::drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken) {
   while (!lease.refunds.empty() && lease.refunds.front().number <= refunds_taken) lease.refunds.pop_front();
 }
 
-void LeaseLedger::running_changed(protocol::JobId job, std::int64_t by, double now) {
+void LeaseLedger::change_running_tasks(protocol::JobId job, std::int64_t by, double now) {
   const auto found = grants_.find(job);
   if (found == grants_.end()) return;
   auto& grant = found->second;
   const auto before = grant.covered();
-  grant.running = static_cast<std::uint32_t>(std::max<std::int64_t>(0, grant.running + by));
+  grant.placed = static_cast<std::uint32_t>(std::max<std::int64_t>(0, grant.placed + by));
   grant.changed_at = now;
   set_covered(grant, before);
 }
 
-void LeaseLedger::seen_live(protocol::JobId job) {
+void LeaseLedger::mark_job_live(protocol::JobId job) {
   const auto found = grants_.find(job);
   if (found != grants_.end()) found->second.job_was_live = true;
 }
@@ -156,11 +157,13 @@
       const auto& [promised, covered] = sums[{member, team}];
       if (!(promised == part.promised) || !(covered == part.covered))
         return wrong_sum("grants", member, team);
-      if (!covers(part.size, part.promised)) return wrong_sum("promises beyond the part", member, team);
+      if (!covers(part.size, part.promised))
+        return wrong_sum("promised capacity exceeds the size", member, team);
       exposure[team] += part.size - part.covered;
     }
   for (const auto& [team, amount] : exposure_)
-    if (!(exposure[team] == amount)) return "team " + team + ": exposure does not add up";
+    if (!(exposure[team] == amount))
+      return "team " + team + ": exposure does not match the sum of its leases";
   return {};
 }
 
