--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -42,7 +42,7 @@
   withheld_quota_cpus_.clear();
   capacity_survey_.expire();
   round_requested_ = true;
-  next_machine_watch_ = 0;
+  next_liveness_check_ = 0;
   next_job_sweep_ = 0;
   next_tier_update_ = 0;
   context_.writer.set_guard(bookkeeping::kLeaderKey, election_.mod_revision(),
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -36,9 +36,10 @@
   const auto withheld = withheld_quota_cpus_.find(job.spec.team);
   if (!context_.quota.allows(job.spec, 1, withheld == withheld_quota_cpus_.end() ? 0 : withheld->second))
     return false;
-  // A job that failed on several machines runs one task at a time until one succeeds. A job that is ranked
-  // first because of its waiting time also starts with one task, and its other tasks are ranked by due time
-  // again: when whole arrays were preferred by waiting time, other arrays missed their due times.
+  // A job that failed on at least `kJobSuspectMachines` machines runs one task at a time until one succeeds.
+  // A job that is ranked first because of its waiting time also starts with one task, and its other tasks are
+  // ranked by due time again: when whole arrays were preferred by waiting time, other arrays missed their due
+  // times.
   const bool one_task_only =
       static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
   if (one_task_only && !job.runs.empty()) return false;
@@ -113,8 +114,8 @@
 }
 
 // Where launches are direct, places array tasks on machines with free capacity and launches them by direct
-// command. With long heartbeat intervals, they would otherwise wait for the next heartbeat for most of an
-// interval.
+// command. With long heartbeat intervals, the tasks could otherwise wait almost a whole interval for the next
+// heartbeat of a machine.
 void Scheduler::place_arrays_directly() {
   if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
       capacity_survey_.array_demand_cpus() <= 0)
--- a/src/coordination/scheduling/array_tiers.cpp
+++ b/src/coordination/scheduling/array_tiers.cpp
@@ -30,8 +30,9 @@
   Job* job;
   double time_left_s;       // until its due time
   double late_time_left_s;  // until it is late by more than `kLateShare` of its total time
-  double last_run_s;        // run time of its last tasks that does not overlap with other jobs' first tasks
-  double core_seconds;      // of its remaining tasks
+  double last_run_s;    // part of the run time of its last tasks that does not overlap with other jobs' first
+                        // tasks
+  double core_seconds;  // of its remaining tasks
 };
 using CandidatesByTeam = std::map<std::string, std::vector<Candidate>>;
 
--- a/src/coordination/scheduling/arrival_history.hpp
+++ b/src/coordination/scheduling/arrival_history.hpp
@@ -30,8 +30,9 @@
   /// `kMachineFillingGangTasksMax` of its tasks fit the machine when it is empty. Machines are kept ready
   /// only for such gangs, since gangs with smaller tasks fit beside other work.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return gang_use(machine).fills; }
-  /// The latest gang of which at most `kMachineFillingGangTasksMax` tasks fit one machine of any type that it
-  /// allows; else the latest gang; null if there is none. Valid until the next call of `record`.
+  /// The last recorded gang of which at most `kMachineFillingGangTasksMax` tasks fit one machine of any type
+  /// that it allows; else the last recorded gang; null if none is recorded. Valid until the next call of
+  /// `record`.
   const protocol::JobSpec* typical_gang() const;
   /// Machines per second that arriving gangs need if nothing else runs on them, averaged over the last
   /// `kGangArrivalWindowS`.
@@ -65,7 +66,7 @@
   const RunTimes& run_times_;
   std::deque<GangArrival> gangs_;
   std::deque<ArrayArrival> arrays_;
-  // Results of `gang_use` by kind, valid for `kGangUseCacheS`.
+  // Results of `gang_use` by kind, kept for at most `kGangUseCacheS`.
   mutable std::map<MachineKind, GangUse> gang_use_cache_;
   mutable double gang_use_cached_until_ = 0;
 };
--- a/src/coordination/scheduling/capacity_survey.hpp
+++ b/src/coordination/scheduling/capacity_survey.hpp
@@ -52,7 +52,7 @@
   double next_refresh_ = 0;
   double supply_cpus_ = 0;
   double array_demand_cpus_ = 0;
-  // By class: free cpus on machines of all preceding classes.
+  // By class: free cpus on machines of all preceding classes that take work and are not draining.
   std::array<double, kClasses> preferred_free_cpus_{};
 };
 
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -67,7 +67,8 @@
 
 namespace {
 
-// Added before a product is rounded down: by rounding, it may be slightly less than the exact whole number.
+// Added before a product is rounded down, since a floating-point error may make it slightly less than the
+// exact whole number.
 constexpr double kCountRounding = 1e-9;
 
 struct WaitingGang {
@@ -145,8 +146,8 @@
 
 // Withholds the quota that waiting gangs need from the arrays of their teams, also while preemption is still
 // freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve. Nothing
-// is withheld for gangs that failed on several machines, or that do not fit into the team's limit on cpus
-// beside its other gangs.
+// is withheld for gangs that failed on `kJobSuspectMachines` or more machines, or that do not fit into the
+// team's limit on cpus beside its other gangs.
 void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
@@ -214,10 +215,10 @@
   return true;
 }
 
-// Sets machines aside for a gang that has waited for more than `kGangClaimAfterS`: gangs considered later in
-// this round cannot use them. Otherwise gangs with fewer tasks would take each machine as it becomes free,
-// and a gang with many tasks would starve. Arrays may still use the machines, since a gang can preempt arrays
-// of lower priority.
+// Sets machines aside for a gang that this leader has known as eligible for more than `kGangClaimAfterS`:
+// gangs considered later in this round cannot use them. Otherwise gangs with fewer tasks would take each
+// machine as it becomes free, and a gang with many tasks would starve. Arrays may still use the machines,
+// since a gang can preempt arrays of lower priority.
 void Scheduler::claim_machines(const Job& job) {
   std::uint32_t left = job.spec.tasks;
   for (auto& [name, machine] : context_.machines.all()) {
--- a/src/coordination/scheduling/placements.hpp
+++ b/src/coordination/scheduling/placements.hpp
@@ -31,10 +31,10 @@
   /// the machine.
   void add_run(bookkeeping::Job& job, std::uint32_t index, bookkeeping::TaskRun run,
                bookkeeping::Machine& machine);
-  /// Removes the run of the task and frees its capacity; does nothing if the task has no run. The task is not
-  /// placed again until `requeue_task` is called.
+  /// Removes the run of the task and frees its capacity; does nothing if the task has no run. An array
+  /// task is not placed again until `requeue_task` is called.
   void remove_run(bookkeeping::Job& job, std::uint32_t index);
-  /// Makes a task of an array eligible for placement again, unless it is done.
+  /// Makes a task of an array eligible for placement again, unless it is done or still has a run.
   void requeue_task(bookkeeping::Job& job, std::uint32_t index);
 
   /// Reserves capacity on the machine for one task of the gang. A later heartbeat of the machine confirms
@@ -57,8 +57,8 @@
   /// that waiting gangs may fit now.
   bool capacity_freed() const { return capacity_freed_; }
   void clear_capacity_freed() { capacity_freed_ = false; }
-  /// Whether, since the last `clear_unqueued_array_task`, a task of an array that is in no queue became
-  /// eligible for placement.
+  /// Whether, since the last `clear_unqueued_array_task`, `requeue_task` was called for an array that is in
+  /// no queue, so that the queues may lack a task to place.
   bool has_unqueued_array_task() const { return unqueued_array_task_; }
   void clear_unqueued_array_task() { unqueued_array_task_ = false; }
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -54,7 +54,7 @@
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
-  if (possible < excess) return;  // other work that it can't preempt uses the quota: it waits
+  if (possible < excess) return;  // the rest of the quota is used by work that the gang cannot preempt
   job.quota_freed_until = now + c::kPreemptionHoldS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
@@ -75,7 +75,7 @@
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost_cpu_s;  // used by its run so far; counted as lost when it stops
+    double lost_cpu_s;  // cpu seconds that its run has used; lost if it is stopped
   };
   Machine* machine;
   std::vector<Victim> victims;
@@ -154,7 +154,7 @@
       options.push_back(std::move(*option));
   }
   if (free_slots >= job.spec.tasks)
-    return;  // slots are not what it lacks; the zone rules may prevent its placement
+    return;  // enough slots are free; the zone rules may prevent the placement
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
   std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -49,7 +49,7 @@
   return std::min(inherited, c::kDefaultAllowedRuns * run_times_.expected(job) + c::kDefaultRunS - age);
 }
 
-double QueueOrder::expected_duration(const Job& job) const {
+double QueueOrder::min_duration_s(const Job& job) const {
   double slowest = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : context_.types)
     if (type.fetch_gb_per_s > 0) slowest = std::min(slowest, type.fetch_gb_per_s);
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -43,15 +43,16 @@
   /// the jobs that depend on it allow.
   double time_left(const bookkeeping::Job& job) const;
   /// Estimated time in seconds that a job needs at least from becoming eligible to its end: the expected run
-  /// time of one task, the transfer of the image at the lowest rate of all machine types, and two heartbeat
-  /// intervals. Waiting for capacity, and tasks of an array that run one after another, are not included.
-  double expected_duration(const bookkeeping::Job& job) const;
-  /// Whether the job is an array that this leader has known for more than `kArrayOverdueWaitS` and of which
-  /// no task has started.
+  /// time of one task, the transfer of the image at the lowest known rate of all machine types, and two
+  /// heartbeat intervals. Waiting for capacity, and tasks of an array that run one after another, are not
+  /// included.
+  double min_duration_s(const bookkeeping::Job& job) const;
+  /// Whether the job is an array that this leader has known as eligible for more than `kArrayOverdueWaitS`
+  /// and of which no task has been seen running by this leader.
   bool waited_too_long(const bookkeeping::Job& job) const;
   /// Returns the rank of the job if `tasks` of its tasks were placed at once. Among jobs with equal `borrows`
-  /// and `priority`, arrays that have `waited_too_long` and gangs known for more than `kGangClaimAfterS` come
-  /// first.
+  /// and `priority`, arrays that have `waited_too_long` and gangs known as eligible for more than
+  /// `kGangClaimAfterS` come first.
   Rank rank(const bookkeeping::Job& job, std::uint32_t tasks) const;
 
   /// Empties the queues and makes the next `sort` due at once.
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -76,8 +76,8 @@
          std::to_string(unreconciled_.count());
 }
 
-// Called when the machine's tasks are known: its heartbeat listed them, or its lease or the machine itself
-// ended.
+// Called when the machine's tasks are known: its heartbeat listed them, its lease has expired, or the machine
+// is gone.
 void Scheduler::mark_reconciled(Machine& machine) {
   if (unreconciled_.mark_reconciled(machine)) {
     round_requested_ = true;
@@ -93,7 +93,7 @@
 void Scheduler::update_tiers() {
   if (context_.now.steady < next_tier_update_) return;
   next_tier_update_ = context_.now.steady + c::kArrayTierIntervalS;
-  dependencies_.inherit_priorities([this](const Job& job) { return queue_order_.expected_duration(job); });
+  dependencies_.inherit_priorities([this](const Job& job) { return queue_order_.min_duration_s(job); });
   assign_array_tiers(context_, run_times_, queue_order_, capacity_survey_.supply_cpus());
 }
 
@@ -127,8 +127,8 @@
     set_phase(LeaderPhase::kServing);
     round_requested_ = true;
   }
-  if (now >= next_machine_watch_) {
-    next_machine_watch_ = now + c::kLivenessCheckIntervalS;
+  if (now >= next_liveness_check_) {
+    next_liveness_check_ = now + c::kLivenessCheckIntervalS;
     check_machine_liveness();
   }
   send_stops();
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -67,16 +67,18 @@
   void end();
   /// Runs the periodic work that is due.
   void tick();
-  /// Processes a worker's heartbeat. Answers it at once, or after loading if the durable records are still
-  /// being read.
+  /// Processes a worker's heartbeat and answers it. While the durable records are loading, a limited number
+  /// of heartbeats is held back until they are loaded; further ones are answered at once with status 503.
   void heartbeat(std::uint64_t key, const protocol::Heartbeat& heartbeat);
   /// Processes a heartbeat whose content equals that of the heartbeat `base_seq`; only its own sequence
   /// number `seq` differs. Returns false and changes nothing if the content has to be examined: the in-memory
-  /// state does not reflect `base_seq`, or the machine has a launch in flight or other open work. The caller
+  /// state does not reflect `base_seq`, `fencing_token` is not that of this term, the durable record may say
+  /// that the machine is not answered, or the machine has a launch in flight or other open work. The caller
   /// then needs the whole heartbeat.
   bool unchanged_heartbeat(std::uint64_t key, const std::string& machine, std::uint64_t agent_epoch,
                            std::uint64_t seq, std::uint64_t fencing_token, std::uint64_t base_seq);
-  /// Processes the answer to the direct command `id`. `heartbeat` is null and `status` is 0 if none came.
+  /// Processes the answer to the direct command `id`. `status` is 0 if no answer with status 200 or 409 came.
+  /// `heartbeat` is null if the answer contained no valid heartbeat, or if there was no such answer.
   void handle_direct_answer(std::uint64_t id, int status, const protocol::Heartbeat* heartbeat);
 
   LeaderPhase phase() const { return phase_; }
@@ -138,7 +140,8 @@
   const RunTimes& run_times() const { return run_times_; }
   /// Seconds until the job should be over; negative if it is late (see `QueueOrder::time_left`).
   double time_left(const bookkeeping::Job& job) const { return queue_order_.time_left(job); }
-  /// This and the next three are forwarded to `ArrivalHistory`, for the components that scale the fleet.
+  /// `kept_for_gangs`, `typical_gang`, `gang_rate` and `array_load` are forwarded to `ArrivalHistory`, for
+  /// the components that scale the fleet.
   bool kept_for_gangs(const bookkeeping::Machine& machine) const { return arrivals_.kept_for_gangs(machine); }
   const protocol::JobSpec* typical_gang() const { return arrivals_.typical_gang(); }
   double gang_rate() const { return arrivals_.gang_machines_per_second(); }
@@ -307,7 +310,7 @@
   double reconcile_until_ = 0;
   double next_reconcile_check_ = 0;
   double last_round_ = 0;
-  double next_machine_watch_ = 0;
+  double next_liveness_check_ = 0;
   double next_job_sweep_ = 0;
   double next_wait_log_ = 0;
   bool round_requested_ = false;       // since the last round, something changed that may let a gang start
@@ -330,8 +333,8 @@
   MachineRecordWriter machine_records_;
   CancelledWork cancelled_work_;
   std::set<protocol::JobId> jobs_to_reread_;  // the read of their record failed or found no record
-  // kReadAgain: the record may have changed after the read was sent, so it is read once more after the
-  // answer.
+  // kReadAgain: the record may have changed after the read was sent, so a second read is sent when the first
+  // is answered.
   enum class OpenRead : std::uint8_t { kOnce, kReadAgain };
   std::map<protocol::JobId, OpenRead> open_job_reads_;  // reads of live records in flight
   std::set<std::string> claimed_machines_;              // set aside for waiting gangs in the current round
