--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -72,8 +72,8 @@
 bool Election::may_announce_cancellation(protocol::JobId id) const {
   auto& cancellations = context_.cancellations;
   // A valid leader knows its own announcements. That former leaders may lack them in memory does not matter:
-  // none of them is valid, so none starts work or answers users from its ledger. In strict mode it also waits
-  // until no former leader answers heartbeats.
+  // none of them is valid, so none starts work or answers users from its ledger. In strict mode the leader
+  // also waits until no former leader answers heartbeats.
   if (valid())
     return !cancellations.only_leader_announces() || context_.now.steady >= former_leaders_stopped_at();
   return !cancellations.only_leader_announces() && cancellations.acknowledged_by_all(id, context_.now.steady);
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -66,27 +66,30 @@
 
   /// Current role.
   Role role() const { return role_; }
-  /// The term that this controller leads in, or else the highest term it has seen.
+  /// The term that this controller leads in, or else the highest term it has adopted.
   std::uint64_t term() const { return term_; }
   /// Mod revision of the leader key while this controller leads. Transactions of this term require it.
   std::uint64_t mod_revision() const { return mod_revision_; }
   /// The member last known to lead; empty if unknown.
   const std::string& leader() const { return leader_; }
-  /// Steady time at which the last successful renewal of the lease, or else the request for it, was sent.
+  /// Steady time at which the last successful renewal of the lease was sent, or, before the first renewal,
+  /// the request for the lease.
   double last_renewal_sent_at() const { return last_renewal_sent_at_; }
 
-  /// Whether this controller leads with an unexpired lease, and so may place, launch and write.
+  /// Whether this controller leads with an unexpired lease. A leader places tasks, starts work and writes
+  /// durable records only while this holds; see `Scheduler::may_place` for what placing and starting work
+  /// require in addition.
   bool valid() const;
   /// Whether this controller may still send commands with its term as fencing token: it leads, perhaps
   /// degraded, has seen no higher term, and its last successful renewal was sent recently enough. Such
   /// commands renew no worker's lease.
   bool owns_fencing_token() const;
   /// Whether this controller may answer heartbeats with its fencing token, which renews the workers' leases.
-  /// It may while it knows every cancellation announced to a user, except those announced so recently that
-  /// leases renewed now still expire before the cancellation is due.
+  /// It may while it owns the fencing token and knows every cancellation announced to a user, except those
+  /// announced so recently that leases renewed now still expire before the cancellation is due.
   bool may_answer_heartbeats() const;
   /// Whether a complete read of the change log has begun since the role last became kLeading, also after a
-  /// recovery from kDegraded, so that this controller may start work. Except in strict mode, the last such
+  /// recovery from kDegraded. `Scheduler::may_place` requires this. Except in strict mode, the last such
   /// read must also have begun less than half of the answer window ago. Without this check, the controller
   /// could start a job that was cancelled during an outage and whose change-log entry it has not read yet.
   bool caught_up_on_cancellations() const;
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -13,7 +13,8 @@
 namespace robinford::coordination {
 
 /// Owns the parts of this package, declared in the order in which they depend on one another: ZoneHealth,
-/// CloudClient, ScaleOut, ScaleIn. Does nothing unless this controller leads.
+/// CloudClient, ScaleOut, ScaleIn. Reviews nothing and makes no cloud call unless
+/// this controller leads and has loaded the ledger.
 class Fleet {
  public:
   /// The arguments must outlive this object.
--- a/src/coordination/fleet/fleet_figures.hpp
+++ b/src/coordination/fleet/fleet_figures.hpp
@@ -16,9 +16,9 @@
 /// Nominal boot time in seconds of the type that boots fastest; 0 while no type is known.
 double shortest_boot_s(const ControllerContext& context);
 
-/// Number of spare machines to keep for gangs: the mean number that gangs will need which arrive while a
-/// machine of the slowest type boots, unless the policy script sets a number. Arrays may use spare machines
-/// until gangs need them.
+/// Number of spare machines to keep for gangs: the mean number of machines needed by the gangs that
+/// arrive while a machine of the slowest type boots, unless the policy script sets a number. Arrays may use
+/// spare machines until gangs need them.
 int spare_gang_machines(const ControllerContext& context, const Scheduler& scheduler);
 
 /// Whether nothing runs on the machine, may still run on it, or is reserved on it.
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -29,7 +29,8 @@
   /// Properties of the whole fleet, computed once per pass.
   struct FleetView {
     bool network_fault = false;  ///< so many machines are unresponsive that the network is the likelier cause
-    bool few_unreconciled = false;  ///< so few machines are unreconciled that they may be returned
+    /// So few machines are unreconciled that those whose probes fail repeatedly may be returned.
+    bool few_unreconciled = false;
     bool gangs_arrive = false;
     bool arrays_arrive = false;
   };
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -146,8 +146,8 @@
   add_missing_for(spec, only_zone, left, plan);
 }
 
-// Chooses the zone for a gang that must run in one zone: the one with the most free, booting or requested
-// capacity for it, or else that of the cheapest pool.
+// Chooses the zone for a gang that must run in one zone: the zone whose machines in the forecast have room
+// for the most tasks of the gang, or, if none has room, the zone of the cheapest pool.
 std::string ScaleOut::zone_for(const JobSpec& spec, const Plan& plan) const {
   std::map<std::string, std::uint32_t> slots_by_zone;
   for (const auto& group : plan.fleet)
@@ -203,8 +203,8 @@
   }
 }
 
-// Plans spare machines for the gangs that are expected to arrive while a machine boots. Free machines that
-// are up, booting or requested count as spare.
+// Plans spare machines for the gangs that are expected to arrive while a machine boots. Machines of the
+// forecast with room for a task of the typical gang count as spare.
 void ScaleOut::plan_spare_machines(Plan& plan) const {
   const JobSpec* typical = scheduler_.typical_gang();
   if (typical == nullptr) return;
@@ -224,8 +224,8 @@
 
 // ---------------------------------------------------------------- arrays
 
-// The array whose needs decide which pool suits: the one with the most unplaced work or, if all work is
-// placed, with the most remaining work.
+// The array whose needs decide which pool suits: the one whose unplaced tasks need the most cores; among
+// equals, such as when all tasks are placed, the one whose remaining tasks need the most.
 const Job* ScaleOut::typical_array() const {
   const Job* typical = nullptr;
   const auto weight = [](const Job& job) {
@@ -253,7 +253,8 @@
   const double have = array_capacity_cores_ - std::max(overpriced, gang_claimed_cores_);
   if (needed_cores_ <= have) return;
   // A machine provisioned now can only do work that is left once it is up, and must then find work for at
-  // least as long as it booted. Steady arrivals will still supply work by then, but a backlog may be done.
+  // least kProvisionWorthBoots boot times. Steady arrivals will still supply work by then, but a backlog may
+  // be done.
   const double boot_s = std::max(1.0, offered.boot_s);
   const double backlog_after_boot = backlog_core_s() - have * boot_s;
   const double for_backlog =
@@ -284,8 +285,9 @@
   const double left_s = scheduler_.time_left(job);
   const double waiting = pace(job.unplaced() * job.spec.cpus, left_s - boot_s, c::kLastTasksRuns);
   const double spread = std::max(pace(job.remaining() * job.spec.cpus, left_s, 1), waiting);
-  // If the whole time allowed for the job is hardly longer than a boot, capacity that it uses now will be
-  // needed again before a new machine could be up. The cores in use then count in full.
+  // If the whole time allowed for the job is at most kTightBoots boot times, capacity that it uses now will
+  // be needed again before a new machine could be up, so the cores in use count in full. The longer the time,
+  // the less they weigh against the cores that suffice to spread the work over the time left.
   const double age_s = (context_.now.wall_ms - job.submitted_ms) / 1000.0;
   const double allowed_s = std::max(1.0, left_s + std::max(0.0, age_s));
   const double tight_share = std::min(1.0, c::kTightBoots * boot_s / allowed_s);
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -40,14 +40,14 @@
   void log_figures() const;
 
  private:
-  /// Machines that are up, expected or requested, with equal pool and free capacity. They are counted as a
-  /// group, so that the cost of planning does not grow with the number of machines.
+  /// Machines that are up, expected, requested or planned for gangs, with equal pool and free capacity. They
+  /// are counted as a group, so that the cost of planning does not grow with the number of machines.
   struct ForecastGroup {
     CapacityPool pool;
     Resources free;
     int count = 0;
   };
-  /// The forecast fleet of one plan, and the machines missing from it.
+  /// The forecast fleet of one plan, and the machines to provision. Those planned for gangs are in both.
   struct Plan {
     std::vector<ForecastGroup> fleet;
     PoolCounts missing;
--- a/src/coordination/leader/change_log.hpp
+++ b/src/coordination/leader/change_log.hpp
@@ -16,9 +16,10 @@
 namespace robinford::coordination {
 
 /// The leader's reader of the change log. It watches for entries, and also reads the whole log about once a
-/// second: a watch that gets no usable answer reports no entries, while a read shows which ones exist.
-/// Requests that need a new read start one as soon as the rate limit allows. Owns the list of entries whose
-/// deletion is to be retried. Answers that belong to an earlier term of leadership are ignored.
+/// second, less often under a low rate limit: a watch that gets no usable answer reports no entries, while a
+/// read shows which ones exist. Requests that need a new read start one as soon as the rate limit allows.
+/// Owns the list of entries whose deletion is to be retried. Answers that belong to an earlier term of
+/// leadership are ignored.
 class ChangeLog {
  public:
   /// Callbacks for the changes on which the leader acts.
@@ -30,7 +31,7 @@
   /// `read`: whether the log could be read.
   using Done = std::function<void(bool read)>;
 
-  /// The references must outlive the reader.
+  /// The references must outlive this object.
   ChangeLog(ControllerContext& context, const Election& election, Events events);
 
   /// Called by a new leader before it reads the jobs: deletes the existing entries and watches for new ones.
@@ -43,8 +44,10 @@
   /// Retries refused deletions of entries while the writer has few writes queued.
   void retry_deletions();
 
-  /// Calls `done` after a read of the whole log that began after this call. All waiting requests share one
-  /// read, so a flood of requests costs the state service no more than a few reads a second.
+  /// Calls `done` after a read of the whole log that began after this call, or with false when the term ends.
+  /// Requests that wait for the same read share it, so a flood of requests starts at most one read in the
+  /// time in which the state service allows kChangeLogCallsPerRead calls, or in kChangeLogReadIntervalS if
+  /// that is shorter.
   void after_fresh_read(Done done);
 
   /// Returns the entry to be written in the transaction of a change. `sequence` makes the key unique in this
@@ -73,7 +76,7 @@
   double read_began_ = 0;                    // s, steady
   std::vector<Done> waiting_for_next_read_;  // requests that no read in progress covers
   std::vector<Done> waiting_for_current_read_;
-  std::vector<StoredEntry> failed_deletions_;  // to be deleted once more
+  std::vector<StoredEntry> failed_deletions_;  // entries whose deletion the writer refused, to be retried
 };
 
 }  // namespace robinford::coordination
--- a/src/coordination/leader/dependencies.cpp
+++ b/src/coordination/leader/dependencies.cpp
@@ -30,7 +30,7 @@
   next_read_ = 0;
 }
 
-void Dependencies::watch(Job& job) {
+void Dependencies::track(Job& job) {
   const JobId id = job.spec.id;
   const auto needed = job.spec.dependencies;
   graph_.add(id, needed);
--- a/src/coordination/leader/dependencies.hpp
+++ b/src/coordination/leader/dependencies.hpp
@@ -30,7 +30,7 @@
   /// Drops all state, when a term begins or ends.
   void clear();
   /// Starts to track a waiting job that was added to the ledger.
-  void watch(bookkeeping::Job& job);
+  void track(bookkeeping::Job& job);
   /// Handles the durable final state of a job. Its dependents become ready or are cancelled before this
   /// returns.
   void finished(protocol::JobId id, bookkeeping::FinalState state);
--- a/src/coordination/leader/direct_commands.hpp
+++ b/src/coordination/leader/direct_commands.hpp
@@ -29,7 +29,8 @@
 };
 
 /// Sends direct commands and probes and tracks those that are not answered yet. Computes the limits on the
-/// number of open commands (a part of the connections) and on their rate (by the processor share).
+/// number of open commands (a fixed part of the controller's connections) and on their rate (in proportion to
+/// the controller's processor share, with a minimum).
 ///
 /// Also owns the list of unreconciled machines that a new leader probes, so that it need not wait for their
 /// heartbeats (docs/design.md, "What was added", "Questions").
--- a/src/coordination/leader/heartbeats.cpp
+++ b/src/coordination/leader/heartbeats.cpp
@@ -159,7 +159,7 @@
 }
 
 // Confirms the reservations that were made before this heartbeat arrived. Their capacity is not compared with
-// the tasks that the heartbeat lists, so a heartbeat that brought unknown tasks confirms them as well.
+// the tasks that the heartbeat lists, so a heartbeat that lists unknown tasks also confirms the reservations.
 void Scheduler::confirm_reservations(Machine& machine) {
   for (const auto id : machine.reservations) {
     Job* job = context_.jobs.find(id);
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -102,7 +102,7 @@
 // who cancelled the job gets an answer, so that no later answer from this in-memory state predates the
 // cancellation. Recording the final state alone would let the scheduler continue with the job. A degraded
 // leader stops the tasks too, because their machines keep sending heartbeats to it. While the ledger is
-// loading, settle_loaded_jobs does this instead.
+// loading, the job is not finished here; settle_loaded_jobs finishes it afterwards.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
@@ -230,7 +230,7 @@
 
 void Scheduler::on_job_added(Job& job) {
   if (job.state == JobState::kWaiting)
-    dependencies_.watch(job);
+    dependencies_.track(job);
   else
     record_arrival(job);
   round_requested_ = true;
--- a/src/coordination/leader/machine_faults.cpp
+++ b/src/coordination/leader/machine_faults.cpp
@@ -52,8 +52,9 @@
   spdlog::info("machine {} is cordoned: {}", machine.name, why);
 }
 
-// Counts commands that newer heartbeats show were never received. From kUndeliveredCommandsMax on, probes
-// decide whether the machine is unreachable.
+// Counts commands that newer heartbeats show were never received; a suspicious restart of the agent counts as
+// kUndeliveredCommandsMax of them. From kUndeliveredCommandsMax on, probes decide whether the machine is
+// unreachable.
 void Scheduler::record_undelivered(Machine& machine, int by) {
   machine.undelivered_commands += by;
   if (machine.undelivered_commands >= c::kUndeliveredCommandsMax) probe_if_suspect(machine);
--- a/src/coordination/leader/machine_record_writer.cpp
+++ b/src/coordination/leader/machine_record_writer.cpp
@@ -20,8 +20,8 @@
 void MachineRecordWriter::write_due() {
   if (!election_.valid()) return;
   auto& machines = context_.machines;
-  // Versions without dependencies cannot read records that are laid out by size, and may lead until the
-  // upgrade is complete.
+  // Controllers whose version lacks job dependencies can't read records that are laid out by size, and may
+  // lead until the upgrade is complete.
   if (versions_.upgrade_complete())
     machines.lay_out_by_size(context_.settings.value_bytes() - c::kValueSlackBytes, election_.term());
   machines.assign_records();
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Scheduler: a new leader loads the ledger and waits for a round of heartbeats before it places any task.
+/// Scheduler: before it places any task, a new leader loads the ledger and waits, for a bounded time, until
+/// the machines of earlier leaders have reported their tasks or failed to answer a probe.
 /// docs/design.md, section "What was added", "Records" and "Questions".
 #include <spdlog/spdlog.h>
 
@@ -145,15 +146,15 @@
       bookkeeping::StateClient::Urgency::kFirst);
 }
 
-// A waiting job whose dependencies are all over may already have been released and launched by an earlier
-// leader. Its state must be known before the first heartbeat is processed, or its tasks would be stopped as
-// unknown. `tick` finishes the loading once the states are known.
+// A waiting job whose dependencies are all done may already have been released and launched by an earlier
+// leader. Whether that is possible must be known before the first heartbeat is processed, or the job's tasks
+// would be stopped as unknown. `tick` finishes the loading once it is known for every waiting job.
 void Scheduler::load_dependencies() {
   std::vector<Job*> waiting;
   for (auto& [id, job] : context_.jobs.all())
     if (job->state == JobState::kWaiting) waiting.push_back(job.get());
   for (Job* job : waiting)
-    if (job->state == JobState::kWaiting) dependencies_.watch(*job);
+    if (job->state == JobState::kWaiting) dependencies_.track(*job);
   if (dependencies_.release_states_known()) return finish_loading();
   loading_dependencies_ = true;
 }
--- a/tests/coordination/dependencies_test.cpp
+++ b/tests/coordination/dependencies_test.cpp
@@ -45,7 +45,7 @@
     spec.dependencies = std::move(needed);
     Job& job = core.jobs.add(spec, 1, core.now.wall_ms, core.now.steady);
     job.before = true;
-    if (job.state == JobState::kWaiting) dependencies.watch(job);
+    if (job.state == JobState::kWaiting) dependencies.track(job);
     return job;
   }
   void step() {
