--- a/src/coordination/controller_context.hpp
+++ b/src/coordination/controller_context.hpp
@@ -50,7 +50,8 @@
   const protocol::Settings settings;
   const protocol::Policy policy;
   const std::uint64_t incarnation;
-  std::mt19937_64 random;      ///< the only source of random numbers, so that equal seeds give equal runs
+  /// The components' only source of random numbers, so that equal seeds give equal runs.
+  std::mt19937_64 random;
   protocol::ClockReading now;  ///< of the current step
   protocol::Outbox out;        ///< actions since the caller last took them
   bookkeeping::CallTable calls;
@@ -90,7 +91,7 @@
   }
 
  private:
-  static constexpr double kBoundLeast = 16;  // minimum capacity of any queue or cache, in entries
+  static constexpr double kBoundLeast = 16;  // least value of `max_entries`
   static constexpr double kDefaultShare = 1.0;
 };
 
--- a/src/coordination/metrics.hpp
+++ b/src/coordination/metrics.hpp
@@ -15,13 +15,13 @@
  public:
   /// Distributions of durations in seconds.
   enum class Distribution {
-    kGangWait,         ///< from a gang's submission until one of its tasks first runs
-    kArrayWait,        ///< from an array's submission until one of its tasks first runs
+    kGangWait,         ///< from a gang's submission until this leader first sees one of its tasks run
+    kArrayWait,        ///< like kGangWait, for an array
     kRound,            ///< of a placement round; kept for readers of the page, though nothing records it
     kFailover,         ///< from an election to the new leader's first launch
     kHeartbeatAnswer,  ///< from a heartbeat to its answer; on the page, though nothing records it
     /// From when a leader learns of a job, or releases it after its dependencies, to its first placement; 0
-    /// for a job granted from a quota lease.
+    /// for a job granted from a quota lease. Jobs of earlier leaders are left out.
     kGrantWait,
   };
 
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -112,7 +112,8 @@
     lessor_.count_bad_message();
     return false;
   }
-  // A leader that was paused until its leadership lease expired must not renew quota leases.
+  // Without a valid leadership lease, for instance after a pause of the process, quota leases must not be
+  // renewed.
   if (!election_.valid()) return true;
   if (const auto reply = lessor_.handle_lessee_message(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
--- a/src/coordination/quota_leases.hpp
+++ b/src/coordination/quota_leases.hpp
@@ -30,7 +30,8 @@
   // covers (all tasks of a gang or none, and nothing to a job with dependencies), and sends the grants to the
   // leader ahead of the submission.
   void grant_from_lease(const std::string& leader, const std::string& body);
-  // Handles the body of another controller's message. Returns false if it can't be decoded.
+  // Handles the body of another controller's message, or ignores it while quota leases are disabled. Returns
+  // false if it can't be decoded.
   bool on_peer_message(const std::string& member, std::uint64_t incarnation, const std::string& body);
   void set_gauges();
 
--- a/src/coordination/routing/announcement_log.hpp
+++ b/src/coordination/routing/announcement_log.hpp
@@ -25,8 +25,8 @@
     std::vector<protocol::JobId> jobs;
   };
 
-  /// Appends the job and returns the number of the new entry; does nothing if the log already contains the
-  /// job.
+  /// Appends the job and returns the number of the new entry; returns empty, without a new entry, if the
+  /// log already contains the job.
   std::optional<std::uint64_t> append(protocol::JobId id);
   /// Returns the number of the last entry; 0 if there is none.
   std::uint64_t last_number() const { return first_kept_ + jobs_.size() - 1; }
--- a/src/coordination/routing/direct_calls.hpp
+++ b/src/coordination/routing/direct_calls.hpp
@@ -26,6 +26,7 @@
   /// Starts a call of this leader, through a follower if there is one.
   void start(const DirectCall& call);
   /// Makes the call that a message of kind kProbe requests, for another controller or for this leader itself.
+  /// For another controller, reports at once that there was no answer if too many calls are in flight.
   void execute_call(const protocol::PeerMessage& probe);
   /// Handles a follower's result of a delegated call, a message of kind kProbeResult.
   void on_peer_result(const protocol::PeerMessage& result);
--- a/src/coordination/routing/forwarded_heartbeats.hpp
+++ b/src/coordination/routing/forwarded_heartbeats.hpp
@@ -26,7 +26,8 @@
   /// Stores a heartbeat that the leader of the term has answered with 200, unless the cache is full and does
   /// not contain the machine.
   void remember(const std::string& leader, std::uint64_t term, const protocol::Heartbeat& heartbeat);
-  /// Removes the machine's heartbeat after the leader refused one, since it may not have stored it.
+  /// Removes the machine's cached heartbeat. Called after the leader refused a heartbeat of the machine:
+  /// what the leader has stored of the machine may then differ from the cached heartbeat.
   void forget(const std::string& machine) { last_.erase(machine); }
 
  private:
--- a/src/coordination/routing/forwarded_requests.cpp
+++ b/src/coordination/routing/forwarded_requests.cpp
@@ -79,7 +79,8 @@
     return route(message.request);
   }
   if (message.status == kFullHeartbeatRequired) {
-    // The last heartbeat that the leader has of this machine is not the one that was referred to.
+    // The leader can't apply the short reference: its last heartbeat of the machine is not the one referred
+    // to, or the state of the machine in its ledger calls for a full heartbeat.
     pending_.require_full_heartbeat(message.request);
     return route(message.request);
   }
--- a/src/coordination/routing/http_requests.hpp
+++ b/src/coordination/routing/http_requests.hpp
@@ -22,7 +22,7 @@
   /// Whether the caller has to finish the step, in which the state writer sends its due writes.
   enum class Handled : std::uint8_t {
     kDone,
-    kRefused,  ///< answered immediately; the state writer runs at the next event
+    kRefused,  ///< answered immediately; the state writer runs when a later event finishes its step
   };
 
   HttpRequests(ControllerContext& context, const Election& election, const Scheduler& scheduler,
--- a/src/coordination/routing/job_admission.cpp
+++ b/src/coordination/routing/job_admission.cpp
@@ -117,8 +117,8 @@
 }
 
 // Looks up all dependencies in parallel: on a leader, those that its ledger shows without a final state need
-// no read; all others are looked up in their records. The job is refused with 422 here only if a dependency
-// is known never to have been accepted.
+// no read; all others are looked up, in memory or in their records. The job is refused with 422 here only if
+// a dependency is known never to have been accepted.
 void JobAdmission::read_dependencies(const JobSpec& spec, const DependenciesChecked& done) {
   struct OpenCheck {
     DependencyVerdict verdict;
--- a/src/coordination/routing/job_lookup.cpp
+++ b/src/coordination/routing/job_lookup.cpp
@@ -77,7 +77,7 @@
       if (*state == FinalState::kDone) continue;
       return finish_as_cancelled(walk);
     }
-    // Limits the number of reads that one poll can cause at the state service.
+    // Limits the number of reads that one lookup can cause at the state service.
     if (walk->seen.size() > c::kDependencyWalkReadsMax) return walk->done({});
     return read_own_records(next, [this, walk](const Result& known) { on_dependency_read(walk, known); });
   }
--- a/src/coordination/routing/job_lookup.hpp
+++ b/src/coordination/routing/job_lookup.hpp
@@ -11,7 +11,8 @@
 
 /// Reads the durable records of jobs, on the leader or on any other controller. Only final states are cached,
 /// since they never change. `Done` is called once: before the call returns if the answer is in memory,
-/// otherwise in the step in which the state service's answer arrives.
+/// otherwise in the step in which the last read of the state service is answered or
+/// fails.
 class JobLookup {
  public:
   /// Result of looking up a job.
--- a/src/coordination/routing/job_requests.cpp
+++ b/src/coordination/routing/job_requests.cpp
@@ -29,7 +29,7 @@
   const auto submission = protocol::parse_job(body);
   if (!submission.id) return reply(refused(400, submission.error));
   const JobId id = *submission.id;
-  // For a known job the answer is its state; its description is not checked again.
+  // For a job that is known in memory the answer is its state; the submitted description is not checked.
   if (const auto state = context_.jobs.final_state(id)) return reply(final_state_answer(id, *state));
   if (leading() && context_.jobs.find(id) != nullptr) return answer_as_leader(id, reply);
   admission_.admit(id, submission, reply);
@@ -66,8 +66,8 @@
 
 void JobRequests::answer_from_records(JobId id, const UserReply& reply) {
   lookup_.read_state_with_dependencies(id, [this, id, reply](const JobLookup::Result& known) {
-    // The record was read after the poll arrived and shows that the job is not cancelled; the leader's ledger
-    // has the more recent state of its tasks.
+    // The record was read after the user's request arrived and shows that the job is not cancelled; the
+    // leader's ledger has the more recent state of its tasks.
     if (known.record_status == JobLookup::Result::RecordStatus::kLive && leading())
       if (const Job* job = context_.jobs.find(id)) return reply(ledger_answer(*job));
     reply(lookup_answer(id, known, context_.now.steady, refused(404, "no such job")));
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -56,17 +56,17 @@
   bool has_ready_leader(double now) const;
   /// Returns whether any fresh peer reaches the state service and so could serve users.
   bool any_reaches_state(double now) const;
-  /// Returns the next follower, in round-robin order, that workers may send heartbeats to; empty if there is
-  /// none.
+  /// Returns the next follower, in round-robin order, that workers may send heartbeats to: it is fresh,
+  /// linked and reaches the state service. Empty if there is none.
   std::string next_heartbeat_follower(double now);
-  /// Returns the next follower, in round-robin order, for a direct call of this leader; empty if there is
-  /// none.
+  /// Returns the next fresh, linked follower, in round-robin order, for a direct call of this leader; empty
+  /// if there is none.
   std::string next_direct_call_follower(double now);
 
  private:
   static constexpr double kNever = -1e9;
-  /// Returns the seconds since the last status of the peer; very large if there was none since its link went
-  /// down.
+  /// Returns the seconds since the last status of the peer; very large if there was none, or none since
+  /// the link to it went down.
   static double seconds_since_contact(const Peer& peer, double now) { return now - peer.last_contact; }
   static bool is_fresh_follower(const Peer& peer, double now);
 
--- a/src/coordination/routing/pending_requests.cpp
+++ b/src/coordination/routing/pending_requests.cpp
@@ -67,20 +67,20 @@
 std::vector<RequestKey> PendingRequests::overdue_keys(double now) const {
   std::vector<RequestKey> keys;
   for (const auto& [key, request] : requests_)
-    if (overdue(request, now) != Overdue::kNo) keys.push_back(key);
+    if (overdue_reason(request, now) != OverdueReason::kNo) keys.push_back(key);
   return keys;
 }
 
-PendingRequests::Overdue PendingRequests::overdue(RequestKey key, double now) const {
+PendingRequests::OverdueReason PendingRequests::overdue_reason(RequestKey key, double now) const {
   const auto found = requests_.find(key);
-  return found == requests_.end() ? Overdue::kNo : overdue(found->second, now);
+  return found == requests_.end() ? OverdueReason::kNo : overdue_reason(found->second, now);
 }
 
-PendingRequests::Overdue PendingRequests::overdue(const PendingRequest& request, double now) {
-  if (now >= request.deadline) return Overdue::kAnswer;
+PendingRequests::OverdueReason PendingRequests::overdue_reason(const PendingRequest& request, double now) {
+  if (now >= request.deadline) return OverdueReason::kAnswer;
   if (request.state == State::kForwarded && now >= request.forward_deadline && !request.is_heartbeat())
-    return Overdue::kForward;
-  return Overdue::kNo;
+    return OverdueReason::kForward;
+  return OverdueReason::kNo;
 }
 
 }  // namespace robinford::coordination
--- a/src/coordination/routing/pending_requests.hpp
+++ b/src/coordination/routing/pending_requests.hpp
@@ -24,7 +24,7 @@
     kChange,  ///< a submission or cancellation
   };
   enum class State : std::uint8_t {
-    kLocal,      ///< served by this controller
+    kLocal,      ///< not routed yet, or served by this controller
     kForwarded,  ///< sent to the leader for an answer
     kParked,     ///< a heartbeat that waits for a leader to appear
   };
@@ -58,11 +58,11 @@
 /// caller enforces limits on these numbers, because it has to answer a request that exceeds them.
 class PendingRequests {
  public:
-  /// Whether and why a request can't wait any longer.
-  enum class Overdue : std::uint8_t {
+  /// Whether a request is overdue, and which of its deadlines has passed.
+  enum class OverdueReason : std::uint8_t {
     kNo,
-    kAnswer,   ///< its deadline has passed
-    kForward,  ///< the leader did not answer a user's request in time
+    kAnswer,   ///< the request's `deadline` has passed: it is answered with 503
+    kForward,  ///< a user's request was not answered by the leader before its `forward_deadline`
   };
 
   /// Numbers the keys from `first`. A random `first` makes it unlikely that an answer to an earlier process
@@ -81,8 +81,8 @@
   void park(RequestKey key);
   /// Marks the request as forwarded to `member`, until `forward_deadline` in steady seconds.
   void forward(RequestKey key, const std::string& member, double forward_deadline);
-  /// Makes the router send the heartbeat in full, because the leader lacks the earlier heartbeat that the
-  /// forwarded message referred to.
+  /// Makes the router send the heartbeat in full, because the leader could not use the reference to an
+  /// earlier heartbeat that was forwarded in its place.
   void require_full_heartbeat(RequestKey key) { requests_.at(key).full_heartbeat_required = true; }
   /// Moves the heartbeat out of a request that this controller answers.
   protocol::Heartbeat take_heartbeat(RequestKey key) { return std::move(requests_.at(key).heartbeat); }
@@ -100,11 +100,11 @@
   std::vector<RequestKey> keys_forwarded_to(const std::string& member) const;
   /// Returns the requests that are overdue at `now`, in steady seconds, in order of arrival.
   std::vector<RequestKey> overdue_keys(double now) const;
-  /// Returns whether one request is overdue; kNo if it has been answered.
-  Overdue overdue(RequestKey key, double now) const;
+  /// Returns why the request is overdue at `now`; kNo if it is not overdue or has been answered.
+  OverdueReason overdue_reason(RequestKey key, double now) const;
 
  private:
-  static Overdue overdue(const PendingRequest& request, double now);
+  static OverdueReason overdue_reason(const PendingRequest& request, double now);
   void change_state(PendingRequest& request, PendingRequest::State state);
   std::size_t& count_of(PendingRequest::Kind kind) {
     return kind == PendingRequest::Kind::kPoll ? polls_ : changes_;
--- a/src/coordination/routing/request_router.cpp
+++ b/src/coordination/routing/request_router.cpp
@@ -101,8 +101,8 @@
   forward_user_request(key, leader);
 }
 
-// Keeps the heartbeat until there is a leader. The sooner a new leader has a heartbeat of every machine, the
-// sooner it can place work.
+// Keeps the heartbeat until there is a leader or its deadline passes. The sooner a new leader has a heartbeat
+// of every machine, the sooner it can place work.
 void RequestRouter::park(RequestKey key) {
   if (!leader_may_appear()) return refuse_heartbeat(key, kNotLeading);
   if (pending_.parked() >= context_.max_machine_entries(c::kParkedHeartbeatsPerMb))
@@ -164,13 +164,13 @@
 void RequestRouter::resolve_overdue() {
   const double now = context_.now.steady;
   for (const auto key : pending_.overdue_keys(now)) {
-    switch (pending_.overdue(key, now)) {
-      case PendingRequests::Overdue::kNo:
+    switch (pending_.overdue_reason(key, now)) {
+      case PendingRequests::OverdueReason::kNo:
         break;  // answered while an earlier request of this loop was handled
-      case PendingRequests::Overdue::kForward:
+      case PendingRequests::OverdueReason::kForward:
         serve(key);  // the leader did not answer in time
         break;
-      case PendingRequests::Overdue::kAnswer:
+      case PendingRequests::OverdueReason::kAnswer:
         if (pending_.at(key).is_heartbeat())
           refuse_heartbeat(key, 503);
         else
@@ -208,7 +208,8 @@
 
 // Announces the cancellation to all other controllers before the user is answered. Otherwise the leader, or a
 // controller about to lead, could still report an older state, and a controller that answers heartbeats could
-// let the job's tasks run on. The announcement is sent again with each status until the peer acknowledges it.
+// let the job's tasks run on. The announcement is sent again with each status to a peer until that peer
+// acknowledges it, as long as the announcement log keeps it.
 void RequestRouter::announce_cancellation(protocol::JobId id) {
   if (!context_.cancellations.record_announcement(id)) return;
   for (const auto& [member, peer] : peers_.all()) {
--- a/src/coordination/routing/request_router.hpp
+++ b/src/coordination/routing/request_router.hpp
@@ -22,15 +22,16 @@
 /// Statuses by which a controller declines a request.
 /// @{
 constexpr int kNotLeading = 421;  ///< this controller can't act as the leader; the sender must use another
-constexpr int kFullHeartbeatRequired = 409;  ///< to a peer: the leader lacks the heartbeat referred to
+constexpr int kFullHeartbeatRequired = 409;  ///< to a peer: the leader needs the heartbeat in full
 /// @}
 
 /// Owns the pending requests and answers each of them exactly once, at the latest when its deadline passes. A
 /// leader with a valid lease answers every request that reaches it, a degraded one at least the heartbeats.
 /// Any other controller forwards requests to the leader. Without a leader that can serve them, or if the
 /// leader does not answer in time, users' requests are served here from the records in the state service.
-/// Heartbeats wait for a leader. A forwarded request is served only by a leader and never forwarded again,
-/// because with a chain of forwards it would be unclear which controller answers.
+/// Heartbeats wait for a leader. Requests beyond the limits on waiting requests are refused with 503. A
+/// forwarded request is served only by a leader and never forwarded again, because with a chain of forwards
+/// it would be unclear which controller answers.
 class RequestRouter {
  public:
   /// Whether a user's request was added to the pending requests.
@@ -57,8 +58,9 @@
                                 PendingRequest::Kind kind);
   void accept_heartbeat(std::uint64_t token, protocol::Heartbeat heartbeat);
   /// Counts a heartbeat and returns the follower that the worker should use instead, if this leader has
-  /// received more heartbeats in the current second than it accepts directly. Returns an empty string if this
-  /// controller accepts the heartbeat. Must be called once per heartbeat.
+  /// received more heartbeats in the current window of one second than it accepts directly. Returns an empty
+  /// string if this controller accepts the heartbeat, also if no follower can take it. Must be called
+  /// once for each heartbeat that arrives by HTTP while the scheduler is serving.
   std::string redirect_for_heartbeat();
 
   // ---- messages of other controllers ----
@@ -77,8 +79,8 @@
   void resolve_overdue();
   /// Routes the parked heartbeats again if a leader is known.
   void retry_parked_heartbeats();
-  /// Routes the requests that were forwarded to the member again, since their answers can't arrive over this
-  /// link any more.
+  /// Routes again the requests that were forwarded to `member`, since the link over which `member` would
+  /// answer them is down.
   void on_link_down(const std::string& member);
   /// Sends the scheduler's answer to a heartbeat; `term` is the fencing token of the commands.
   void answer_heartbeat(RequestKey key, int status, std::vector<protocol::Command> commands,
--- a/src/coordination/routing/user_answer.hpp
+++ b/src/coordination/routing/user_answer.hpp
@@ -31,10 +31,11 @@
 UserAnswer refused(int status, const std::string& reason);
 /// Returns an answer with the job's final state, which must be durable.
 UserAnswer final_state_answer(protocol::JobId id, bookkeeping::FinalState state);
-/// Returns an answer with the state of a job in the leader's ledger.
+/// Returns an answer with the state of a job in the leader's ledger; 503 while its final state is being
+/// written.
 UserAnswer ledger_answer(const bookkeeping::Job& job);
-/// Returns an answer with the state of a job that was looked up at `now`, in steady seconds; returns
-/// `if_never` if the job was never accepted.
+/// Returns an answer with the state of a job that was looked up at `now`, in steady seconds; `if_never` if
+/// the job was never accepted, and 503 if its state could not be determined.
 UserAnswer lookup_answer(protocol::JobId id, const JobLookup::Result& known, double now,
                          const UserAnswer& if_never);
 
