--- a/src/bookkeeping/dependency_graph.cpp
+++ b/src/bookkeeping/dependency_graph.cpp
@@ -68,7 +68,7 @@
 
 std::vector<DependencyGraph::Dependency> DependencyGraph::dependents_first() const {
   std::vector<Dependency> pairs;
-  std::map<JobId, std::size_t> unvisited;  // dependents of a waiting job that have not been visited
+  std::map<JobId, std::size_t> unvisited;  // number of unvisited dependents, by waiting job
   std::vector<JobId> open;
   for (const auto& [id, dependencies] : dependencies_) {
     const auto found = dependents_.find(id);
--- a/src/bookkeeping/dependency_graph.hpp
+++ b/src/bookkeeping/dependency_graph.hpp
@@ -27,7 +27,7 @@
   /// Consequences of the end of a job for waiting jobs.
   struct Outcome {
     std::vector<JobId> ready;      ///< jobs whose dependencies are now all done
-    std::vector<JobId> cancelled;  ///< jobs that depend on the job directly or indirectly
+    std::vector<JobId> cancelled;  ///< direct and indirect dependents of a cancelled job
   };
 
   void clear();
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -43,8 +43,8 @@
   protocol::TaskPhase phase = protocol::TaskPhase::kFetching;
   bool seen = false;    ///< a heartbeat has shown this attempt
   bool direct = false;  ///< launched by a direct command, which may take effect late
-  /// Counters of the machine's newest accepted heartbeat when the launch was sent. A launch in a heartbeat
-  /// answer answers that heartbeat.
+  /// Counters of the machine's newest accepted heartbeat when the launch was sent. A launch that is sent in a
+  /// heartbeat answer is in the answer to the heartbeat with these counters.
   std::uint64_t launch_agent_epoch = 0;
   std::uint64_t launch_seq = 0;
   // Times of the steady clock, in s. For a task that an earlier leader launched, the first three are the time
@@ -72,7 +72,7 @@
   kCompleting,  ///< all tasks are done; the final record is being written
   kCancelling,  ///< cancelled by its user; the final record is being written
   /// Its end is durable, or it was cancelled because a job that it depends on was. Kept in memory until no
-  /// machine can hold a task of it and its own cancellation is on record.
+  /// machine can hold a task of it and, if it was cancelled, its own cancellation is on record.
   kOver,
 };
 /// The state's name in log lines.
@@ -89,7 +89,8 @@
 /// The state's name in log lines.
 const char* to_text(GangState state);
 
-/// A job that is not over, or of which a machine may still hold tasks.
+/// A job that is not over, or one that is over while a machine may still hold tasks of it or its cancellation
+/// is not on record.
 ///
 /// Invariants: `done` has `spec.tasks` entries and `done_count` of them are true; `again` holds tasks below
 /// `next_fresh` that are neither done nor in `runs`. Names ending in `_ms` are times of day in ms, other
@@ -104,7 +105,7 @@
 
   /// When a leader released it after its last dependency was done. 0: no release is known.
   std::int64_t ready_ms = 0;
-  bool ready_on_record = true;  ///< the durable record says that it waits for no dependency
+  bool ready_on_record = true;  ///< its live record says that it waits for no dependency
   /// False: cancelled through a dependency and not yet recorded as cancelled.
   bool cancelled_on_record = true;
   /// The highest priority of the jobs that depend on it, directly or indirectly.
@@ -122,7 +123,7 @@
   std::vector<bool> done;  ///< by task index
   std::uint32_t done_count = 0;
   std::uint64_t done_version = 0;     ///< grows with each completion
-  std::uint64_t durable_version = 0;  ///< value of `done_version` up to which the record has the completions
+  std::uint64_t durable_version = 0;  ///< `done_version` up to which its live record has all completions
   bool writing = false;               ///< a write of its live or final record is not answered yet
   double last_write = 0;
 
@@ -139,7 +140,7 @@
   const char* logged_wait_reason = nullptr;  ///< the last logged reason for waiting
   bool was_placed = false;                   ///< it has had a run or reservation under this leader
   bool queued = false;                       ///< in its team's queue (arrays only)
-  double next_preempt_search_at = 0;         ///< earliest time of the next search for preemptible capacity
+  double next_preempt_search_at = 0;         ///< earliest next search for tasks to preempt
 
   int failures = 0;  ///< consecutive failures over all machines
   double backoff_until = 0;
@@ -150,7 +151,8 @@
   double first_started_at = 0;          ///< when this leader first saw one of its tasks start to run
   double run_time_sum_s = 0;            ///< of its completed tasks whose start this leader saw
   int run_time_count = 0;
-  /// Arrays: 0 can end in time, 1 can end late by at most half its total time (array_tiers.cpp), 2 neither.
+  /// Arrays: 0 can end in time, 1 can end late by at most half the time from submission to due time
+  /// (array_tiers.cpp), 2 neither.
   int tier = 0;
 
   std::uint32_t remaining() const { return spec.tasks - done_count; }
--- a/src/bookkeeping/job_record.hpp
+++ b/src/bookkeeping/job_record.hpp
@@ -41,8 +41,8 @@
 EncodedJob encode_job(const Job& job, std::size_t limit);
 
 /// Decodes a live record that the state service returned at `mod_revision`. A record marked as cancelled
-/// yields a job that is over. Completions are read up to the first malformed one; tasks whose completion is
-/// left out run again and end at once.
+/// yields a job that is over. Completions are read up to the first malformed range or digit; tasks whose
+/// completion is left out run again and end at once.
 /// @param now time of the steady clock, in s
 boost::system::result<std::unique_ptr<Job>, JobRecordError> decode_job(const boost::json::value& value,
                                                                        std::uint64_t mod_revision,
--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -66,7 +66,7 @@
   /// Recorded by an earlier leader and not yet reconciled: it may hold that leader's tasks.
   bool unreconciled = false;
   double last_heartbeat = -1e9;
-  double last_answer = -1e9;  ///< the last 200 answer with this leader's token
+  double last_answer = -1e9;  ///< when its heartbeat was last answered with 200 and this leader's token
   /// When its current agent epoch was first shown with this leader's token. The epoch began before that time,
   /// and every heartbeat that another controller answered was sent before it.
   double agent_epoch_shown_at = -1e9;
@@ -91,7 +91,7 @@
   double gang_cpus = 0;          ///< cpus that gang tasks and gang reservations take here
   /// Attempts started by a direct command in this term and in `direct_agent_epoch`. Such a command may take
   /// effect late or twice, which does nothing while the worker lists the attempt. These attempts are
-  /// therefore never cleared. Section "Direct launches".
+  /// therefore never cleared. Section "Direct launches" of docs/design.md.
   std::set<std::pair<TaskId, std::uint64_t>> direct;
   std::uint64_t direct_agent_epoch = 0;
 
@@ -114,7 +114,7 @@
   /// Consecutive launches that newer heartbeats show as never received. A restart of its agent soon after an
   /// answer counts as constants::kUndeliveredCommandsMax of them.
   int undelivered_commands = 0;
-  int unproven_answers = 0;             ///< consecutive answered heartbeats without the token
+  int unproven_answers = 0;             ///< consecutive answered heartbeats without this leader's token
   double last_probe_at = -1e9;          ///< time of the last direct command or probe
   int open_probes = 0;                  ///< direct commands and probes in flight
   int probe_failures = 0;               ///< consecutive failures of direct commands and probes
--- a/src/bookkeeping/machine_layout.cpp
+++ b/src/bookkeeping/machine_layout.cpp
@@ -15,7 +15,7 @@
 constexpr char kNumberedPrefix = 'g';         // prefix of the names of records by number
 constexpr std::size_t kNumberDigitsMax = 15;  // a machine with a longer number has its own record
 
-// Upper bound on the bytes of its entry in a record, with the longest address.
+// Upper bound on the bytes of the machine's entry in a record, with the longest address.
 std::size_t bytes_on_record(const Machine& machine) {
   return machine.name.size() + machine.type.size() + machine.zone.size() +
          constants::kMachineEntryOverheadBytes;
@@ -83,8 +83,9 @@
   }
 }
 
-// Returns the record that received the last machine, so that a provisioning request takes few records. If it
-// is full, returns another one that stays at most half full, or else a new one.
+// Returns the record to which the last machine was assigned, so that the machines of one provisioning request
+// share few records. If there is none, or it has no space for `bytes` more, returns another one that stays at
+// most half full, or else a new one.
 std::string MachineLedger::record_with_space(std::size_t bytes) {
   if (const auto open = groups_.find(open_record_);
       open != groups_.end() && bytes_of(open->second) + bytes <= record_limit_)
@@ -169,7 +170,7 @@
   Machine& machine = known ? *find(entry.name) : add(entry.name, now);
   if (known) {
     // Two records name the machine, because it was being moved. If only one of them lists it as unanswered,
-    // its heartbeats may have been answered since.
+    // its heartbeats may have been answered after that record was written.
     resolve_second_record(machine, group);
     if (!entry.unanswered_since_ms) machine.unanswered_since_ms.reset();
   } else {
@@ -198,8 +199,8 @@
   groups_[group].members.insert(machine.name);
 }
 
-// Assigns a machine that two records name to the record by size, or to `group` if both are. That record is
-// written again before the other one may be deleted.
+// Assigns a machine that two records name to the record by size, or to `group` if both are by size. The
+// record assigned is written again before the other one may be deleted.
 void MachineLedger::resolve_second_record(Machine& machine, const std::string& group) {
   const std::string former = is_numbered(group) ? group : machine.record;
   if (!is_numbered(group)) set_record(machine, group);
--- a/src/bookkeeping/machine_ledger.hpp
+++ b/src/bookkeeping/machine_ledger.hpp
@@ -57,7 +57,8 @@
   void lay_out_by_size(std::size_t limit, std::uint64_t term);
   /// Assigns records to the machines that have none and are not gone.
   void assign_records();
-  /// Records that the group's record, which names the machine, was written.
+  /// Called when the group's record, which names the machine, is durable. If it is the record to which the
+  /// machine is assigned, the machine's former record no longer has to name it.
   void on_record_written(Machine& machine, const std::string& group);
   /// Whether the group's record names no machine and can be deleted.
   static bool deletable(const MachineGroup& group) {
@@ -81,10 +82,11 @@
   /// later.
   boost::json::object group_record(const std::string& group, std::uint64_t term,
                                    std::vector<std::string>& launchable);
-  /// Adds the machines of a record, as unreconciled if they have an address. Unanswered marks that leaders of
-  /// terms before `trusted_since` wrote are ignored: one of them may have answered without recording it.
-  /// Returns false if the record is malformed, or one of its entries is malformed or belongs to another
-  /// record by number; the other entries are read all the same.
+  /// Adds the machines of a record, as unreconciled if they have an address. Unanswered marks from terms
+  /// before `trusted_since` are ignored, because leaders of those terms may have answered a machine without
+  /// recording it. Returns false if the record or one of its entries is malformed, or if the record is one by
+  /// machine number and an entry's number belongs to a different record. The well-formed entries are read all
+  /// the same, except those with a number of a different record.
   bool read_group(const std::string& group, std::uint64_t mod_revision, const boost::json::value& value,
                   double now, std::uint64_t trusted_since);
 
@@ -101,7 +103,7 @@
   std::size_t record_limit_ = 0;   // maximum size of a record by size, in bytes
   std::uint64_t record_term_ = 0;  // term of the leader, part of the names of new records
   std::uint64_t record_count_ = 0;
-  std::string open_record_;           // the record by size that received the last machine
+  std::string open_record_;           // the record by size to which the last machine was assigned
   std::set<std::string> unassigned_;  // machines without a record
   std::map<std::string, Machine> machines_;
   std::map<std::string, MachineGroup> groups_;
--- a/src/bookkeeping/resources.hpp
+++ b/src/bookkeeping/resources.hpp
@@ -10,8 +10,9 @@
 
 namespace robinford::bookkeeping {
 
-/// Free resources of a machine. They may become negative, since take() checks nothing. Comparisons tolerate
-/// constants::kAmountRounding, because rounding errors of repeated additions and subtractions accumulate.
+/// Free or total resources of a machine. Free ones may become negative, since take() does not check that the
+/// tasks fit. Comparisons tolerate constants::kAmountRounding, because rounding errors of repeated additions
+/// and subtractions accumulate.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -25,7 +26,7 @@
   }
 
   /// Number of tasks of the job that fit, at most constants::kTasksPerJobMax.
-  std::uint32_t tasks_of(const protocol::JobSpec& spec) const {
+  std::uint32_t tasks_that_fit(const protocol::JobSpec& spec) const {
     double most = constants::kTasksPerJobMax;
     const auto limit = [&](double have, double need) {
       if (need > 0) most = std::min(most, std::max(0.0, have + constants::kAmountRounding) / need);
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -42,7 +42,8 @@
   writes_.set_rate(scaled(settings_.state_write_rps), scaled(settings_.state_write_rps));
 }
 
-// The service's limits may be lower than the settings say, so a 429 reduces the pace of all further calls.
+// The service's limits may be lower than the settings say, so a 429 reduces the pace of all further calls, at
+// most once per constants::kPaceReductionIntervalS.
 void StateClient::record_status(int status) {
   if (status == state_status::kMalformed) ++rejected_;
   if (status != state_status::kThrottled) return;
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -33,7 +33,8 @@
  public:
   StateClient(const protocol::Settings& settings, CallTable& calls);
 
-  /// Sets the share of the budget: the leader has the larger part, and the other controllers divide the rest.
+  /// Sets this controller's share of the service's rate limits: constants::kLeaderBudgetShare as the leader,
+  /// otherwise an equal part of constants::kMemberBudgetShare.
   void set_leading(bool leading);
   /// Sends queued calls that the budget now covers, and answers the calls that were refused here.
   void tick(double now);
@@ -42,7 +43,7 @@
     /// Never queued; may overdraw the budget, because leadership depends on it.
     kLease,
     /// Sent before queued calls of kNormal. Used by candidates and new leaders, since no jobs are served
-    /// until a leader is ready, and by list().
+    /// until a leader is ready, by the leader's watch of the change log, and by list().
     kFirst,
     /// Sent in order of arrival, except that writes that the budget covers may overtake queued calls.
     kNormal,
--- a/src/bookkeeping/token_bucket.hpp
+++ b/src/bookkeeping/token_bucket.hpp
@@ -9,7 +9,8 @@
 /// Token bucket with `rate` tokens per second and a capacity of `burst`. Times are those of the steady clock,
 /// in s.
 ///
-/// The level may become negative: calls that cannot wait overdraw it, and later calls wait until it recovers.
+/// The level may become negative: calls that cannot wait, and calls that need more than the burst, overdraw
+/// it. Later calls that can wait do so until it recovers.
 class TokenBucket {
  public:
   /// Starts full.
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -59,10 +59,10 @@
 ///     sent      --400, with others-->                       queued, to be sent alone
 ///     sent      --400, alone-->                             kRefused
 ///     sent      --429, 503: not committed-->                queued, after a delay
-///     sent      --lost or late: may be committed-->         queued with an unresolved attempt, after a delay
+///     sent      --lost, late or other: may be committed-->  queued with an unresolved attempt, after a delay
 ///     settling  --read: its mark, or its key is deleted-->  kDone
 ///     settling  --read: anything else-->                    kConflict
-///     settling  --no answer-->                              queued, after a delay
+///     settling  --no valid answer-->                        queued, after a delay
 ///     sent      --not 200, after the guard changed-->       kLost (units with a guard)
 ///     settling  --any answer, after the guard changed-->    kLost (units with a guard)
 ///     queued    --the guard is cleared-->                   kLost (units with a guard)
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -151,7 +151,8 @@
 std::string ScaleOut::zone_for(const JobSpec& spec, const Plan& plan) const {
   std::map<std::string, std::uint32_t> slots_by_zone;
   for (const auto& group : plan.fleet)
-    if (allows(spec, group.pool)) slots_by_zone[group.pool.zone] += group.count * group.free.tasks_of(spec);
+    if (allows(spec, group.pool))
+      slots_by_zone[group.pool.zone] += group.count * group.free.tasks_that_fit(spec);
   std::string best;
   std::uint32_t most = 0;
   for (const auto& [zone, slots] : slots_by_zone) {
@@ -172,7 +173,7 @@
     ForecastGroup& group = plan.fleet[i];
     if (!only_zone.empty() && group.pool.zone != only_zone) continue;
     if (group.count == 0 || !allows(spec, group.pool)) continue;
-    const std::uint32_t tasks_each = group.free.tasks_of(spec);
+    const std::uint32_t tasks_each = group.free.tasks_that_fit(spec);
     if (tasks_each == 0) continue;
     const int machines = std::min<int>(group.count, static_cast<int>((left + tasks_each - 1) / tasks_each));
     const std::uint32_t on_full = (machines - 1) * tasks_each;
@@ -195,7 +196,7 @@
     const auto pool = cheapest_pool(spec, plan.missing, only_zone);
     if (!pool) return;
     ForecastGroup machine{*pool, resources_of(context_.types.at(pool->type)), 1};
-    const std::uint32_t taken = std::min(left, machine.free.tasks_of(spec));
+    const std::uint32_t taken = std::min(left, machine.free.tasks_that_fit(spec));
     machine.free.take(spec, taken);
     left -= taken;
     ++plan.missing[*pool];
@@ -352,7 +353,7 @@
     best_rank = rank;
   };
   for (const auto& [name, type] : context_.types) {
-    const std::uint32_t tasks = resources_of(type).tasks_of(spec);
+    const std::uint32_t tasks = resources_of(type).tasks_that_fit(spec);
     if (tasks == 0) continue;
     for (const auto& zone : type.zones) {
       if (!only_zone.empty() && zone != only_zone) continue;
--- a/src/coordination/scheduling/arrival_history.cpp
+++ b/src/coordination/scheduling/arrival_history.cpp
@@ -52,7 +52,7 @@
   std::uint32_t most = 0;
   for (const auto& [name, type] : context_.types) {
     if (spec.types && std::find(spec.types->begin(), spec.types->end(), name) == spec.types->end()) continue;
-    most = std::max(most, Resources{type.cpus, type.gpus, type.memory_gb}.tasks_of(spec));
+    most = std::max(most, Resources{type.cpus, type.gpus, type.memory_gb}.tasks_that_fit(spec));
   }
   return most;
 }
@@ -86,7 +86,7 @@
     if (!kind_allowed(gang.spec, machine.type, machine.zone, machine.spot) || !whole.fits(gang.spec))
       continue;
     use.fits = true;
-    use.fills = whole.tasks_of(gang.spec) <= c::kMachineFillingGangTasksMax;
+    use.fills = whole.tasks_that_fit(gang.spec) <= c::kMachineFillingGangTasksMax;
     if (use.fills) break;
   }
   return use;
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -182,7 +182,7 @@
         std::any_of(machine.direct.begin(), machine.direct.end(),
                     [&](const auto& entry) { return entry.first.job == job.spec.id; });
     if (earlier_attempt) continue;
-    const auto slots = std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
+    const auto slots = std::min(free.tasks_that_fit(job.spec), slots_within_policy(context_, job, machine));
     if (slots == 0) continue;
     offers.push_back({&machine, slots, free.cpus, machine.images.contains(job.spec.image)});
   }
@@ -231,7 +231,7 @@
       const Job* other = context_.jobs.find(id.job);
       if (other != nullptr && !other->spec.gang && other->priority() < job.priority()) free.give(other->spec);
     }
-    const auto slots = std::min(left, free.tasks_of(job.spec));
+    const auto slots = std::min(left, free.tasks_that_fit(job.spec));
     if (slots == 0) continue;
     claimed_machines_.insert(name);
     left -= slots;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -149,7 +149,7 @@
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
     const Resources& free = free_resources(context_, machine);
     if (free.fits(job.spec))
-      free_slots += std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
+      free_slots += std::min(free.tasks_that_fit(job.spec), slots_within_policy(context_, job, machine));
     else if (auto option = preemption_option(job, machine))
       options.push_back(std::move(*option));
   }
