--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -29,17 +29,17 @@
 /// heartbeats from its in-memory state, which lags by about 2 s. Below this bound the strict mode applies, in
 /// which only the leader announces them.
 inline constexpr double kDegradedAnswerMinS = 6.0;
-/// Time after its last renewal for which a degraded leader answers heartbeats in strict mode.
-/// Cancellations wait for it, so it is well below 75 s.
+/// Time after its last renewal for which a degraded leader answers heartbeats in strict mode. A new leader
+/// announces cancellations only once this time of its predecessor has passed, so it is well below 75 s.
 inline constexpr double kStrictAnswerMaxS = 45.0;
-/// Time after a member's answered probe for which the leader's in-memory state may speak for that member:
-/// two status messages and a delay.
+/// Time after the leader sent the last probe that a member has answered for which the leader's in-memory
+/// state counts as current for the cancellations announced by that member: two status messages and a delay.
 inline constexpr double kInMemoryStateFreshS = 2.0;
 /// Minimum time between two regular reads of the change log of the other controllers. Requested reads may
 /// follow earlier, as may all reads until the leader knows all announced cancellations.
 inline constexpr double kChangeLogReadIntervalS = 1.0;
-/// Calls that the state service must allow for each read of the change log. With a low rate limit the log
-/// is read less often.
+/// Regular reads of the change log are at least as far apart as the time in which the state service's rate
+/// limit allows this number of calls, so with a low limit the log is read less often.
 inline constexpr double kChangeLogCallsPerRead = 10;
 /// Announced cancellations kept for members that missed them.
 inline constexpr std::size_t kAnnouncedCancellationsMax = 4096;
@@ -66,7 +66,8 @@
 inline constexpr double kWatchWaitS = 10.0;
 /// Time added to kWatchWaitS before an unanswered watch counts as lost.
 inline constexpr double kWatchSlackS = 3.0;
-/// Timeout of a call to the state service. The outcome of a write that times out is unknown.
+/// Timeout of a read or transaction at the state service, except for list calls and the leader's lease, and
+/// longest wait of a call in the normal queue. The outcome of a write that times out is unknown.
 inline constexpr double kStateCallTimeoutS = 1.5;
 /// Timeout of a list call: a page of the ledger may take half a megabyte.
 inline constexpr double kStatePageTimeoutS = 4.0;
@@ -82,12 +83,13 @@
 inline constexpr double kStatusIntervalS = 0.5;
 /// Age above which the status of another controller is disregarded.
 inline constexpr double kPeerStatusFreshS = 1.8;
-/// Time after which a forwarded user request that the leader has not answered is answered by this controller.
+/// Time after which a follower itself serves a user request that it forwarded and the leader has not
+/// answered. The leader answers a forwarded request within the same time, with 503 if it has no other answer.
 inline constexpr double kForwardTimeoutS = 1.2;
 /// Forwarded requests in flight per MB of memory before new ones are answered with 503.
 inline constexpr double kForwardedRequestsPerMb = 16;
-/// Heartbeats per second for each core of the quota that a leader takes itself; further ones are
-/// redirected to followers.
+/// Heartbeats per second that a leader takes itself, for each core of the process's CPU quota; further ones
+/// are redirected to followers.
 inline constexpr double kOwnHeartbeatRatePerCore = 500;
 /// Bytes queued for another controller at which they are sent without waiting for the tick.
 inline constexpr std::size_t kPeerBatchBytes = std::size_t{32} * 1024;
@@ -98,7 +100,8 @@
 /// Maximum number of machines, per MB of memory, whose last forwarded heartbeat is kept. Heartbeats of
 /// further machines are always forwarded in full.
 inline constexpr double kLastHeartbeatsPerMb = 20;
-/// Timeout of a direct call that a follower makes for the leader.
+/// Time for which the leader waits for the result of a direct call that it delegated to a follower. Longer
+/// than kDirectCallTimeoutS, the timeout of the call itself.
 inline constexpr double kDelegatedCallTimeoutS = 3.0;
 /// Bits by which a random number is shifted to give the first request key. With a random start, answers
 /// meant for an earlier process match no request.
--- a/src/constants/fleet.hpp
+++ b/src/constants/fleet.hpp
@@ -60,11 +60,11 @@
 /// Time after which an idle surplus machine is returned, unless the policy sets another, if no arriving work
 /// is expected to need it or its type is not in the catalog.
 inline constexpr double kIdleReturnS = 3.0;
-/// List lags after which a machine that only records of earlier leaders name, and no list or heartbeat, is
-/// forgotten, once it is certain that it holds no work.
+/// Time since a machine became known or was last listed after which it is forgotten, as a multiple of the
+/// list lag, if this leader did not provision it, it has sent no heartbeat and it certainly holds no work.
 inline constexpr double kForgetListLags = 6.0;
-/// Boot times for which an idle surplus machine is kept, unless the policy sets another time, while work that
-/// could use it still arrives.
+/// Time for which an idle surplus machine is kept, as a multiple of its type's boot time, while work that
+/// could use it still arrives, unless the policy sets another time.
 inline constexpr double kIdleReturnBoots = 0.5;
 /// Time window of gang arrivals from which the number of spare machines is computed.
 inline constexpr double kGangArrivalWindowS = 120.0;
@@ -73,14 +73,14 @@
 inline constexpr double kDefaultRunS = 60.0;
 /// Minimum weight of a completion in the run-time statistics of its class.
 inline constexpr double kLearnWeightMin = 0.03;
-/// Completions before the observed run time of a job or class is used. The same number of estimates is
-/// needed before a class's estimates are used.
+/// Completions before the observed run time of a job or class is used. For a class, only completions of jobs
+/// with an estimate count. The same number of estimates is needed before a class's estimates are used.
 inline constexpr int kLearnCompletionsMin = 3;
 /// Weight of a job's own estimate against its class's estimates while the class has fewer than
 /// kLearnCompletionsMin completions.
 inline constexpr double kEstimateWeight = 0.5;
-/// Completions of one job that count in the statistics of its class, so that a large array does not
-/// dominate them.
+/// Completions of one job with an estimate that count in the statistics of its class, so that a large array
+/// does not dominate them. Completions of jobs without an estimate do not count.
 inline constexpr int kLearnTasksPerJobMax = 4;
 /// Lower bound of the learned ratio of real to estimated run time.
 inline constexpr double kLearnRatioMin = 0.2;
@@ -98,22 +98,24 @@
 inline constexpr double kFleetReviewIntervalS = 0.5;
 /// Time constant with which the need for array cores decays to a lower computed value.
 inline constexpr double kNeedDecayS = 15;
-/// Cores by which the decaying need may exceed the computed one before the excess is dropped. The need never
-/// quite reaches the computed value, and the remainder would keep the last machine forever.
+/// Excess of the decaying need over the computed one, in cores, below which the excess is dropped. The
+/// decaying need never quite reaches the computed value, and the remainder would keep the last machine
+/// forever.
 inline constexpr double kNeedNegligibleCores = 2;
 /// Limit on a machine's price per core, as a multiple of that of the machines that would be provisioned for
 /// arrays now. Machines above it without a gang do not count as array capacity, so that cheaper ones are
 /// provisioned before they are drained. Spot prices vary by a third, so smaller differences are tolerated.
 inline constexpr double kOverpricedRatio = 1.3;
-/// Boot times of backlog that a newly provisioned machine must be able to work on.
+/// Time for which the backlog must occupy a newly provisioned machine once it is up, as a multiple of its
+/// boot time.
 inline constexpr double kProvisionWorthBoots = 1;
-/// Run times before an array's due time by which its last tasks should be started, for tasks that have no
-/// capacity yet.
+/// How long before an array's due time the last of its tasks without capacity should be started, as a
+/// multiple of the expected run time of one task.
 inline constexpr double kLastTasksRuns = 0.5;
-/// Boot times of allowed time up to which the capacity that an array uses counts in full towards the
-/// need. A replacement would not be up in time.
+/// Longest time allowed for an array, as a multiple of the boot time, for which the capacity that the array
+/// uses counts in full towards the need, since a replacement would not be up in time.
 inline constexpr double kTightBoots = 2;
-/// Run times over which the work of a late array is spread.
+/// Time over which the work of a late array is spread, as a multiple of the expected run time of one task.
 inline constexpr double kLateWindowRuns = 3;
 /// Retry delay for a provisioning request whose outcome is unknown, which is repeated under the same name.
 inline constexpr double kProvisionRetryS = 1.0;
--- a/src/constants/quota.hpp
+++ b/src/constants/quota.hpp
@@ -46,7 +46,7 @@
 /// Time for which a grant is kept whose job has not become known yet. Users wait 5 s for the answer to a
 /// submission, and forwarded requests take less.
 inline constexpr double kOrphanGrantS = 8.0;
-/// Time after which a claim that was not repeated is dropped.
+/// Time after which a waiting job's claim on leased capacity is dropped if it was not repeated.
 inline constexpr double kClaimStaleS = 2.0;
 
 /// @}
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -47,12 +47,15 @@
 /// Minimum time between two writes of a machine record that is only outdated, with no launch waiting for
 /// it.
 inline constexpr double kOutdatedRecordWriteIntervalS = 3.0;
-/// Answers in a row with this leader's fencing token after which a worker that still does not show the
-/// token is probed: the answers probably do not reach it.
+/// Consecutive answered heartbeats without this leader's fencing token at which their worker is probed: the
+/// answers, which carry the token, probably do not reach it. The first of these heartbeats follows no answer
+/// of this leader.
 inline constexpr int kUnprovenAnswersMax = 4;
-/// Commands that newer heartbeats show as never received after which a machine is probed directly.
+/// Number of lost commands, which newer heartbeats show as never received, at which a machine is probed
+/// directly.
 inline constexpr int kUndeliveredCommandsMax = 2;
-/// Failed probes in a row after which a machine counts as unresponsive or unreachable.
+/// Failed probes in a row at which an unreconciled machine is treated as unresponsive, and below which no
+/// machine is cordoned as unreachable.
 inline constexpr int kProbeFailureThreshold = 2;
 /// Heartbeats that a new leader may hold, per MB of memory, while it reads the ledger, before it answers new
 /// ones with 503.
@@ -87,12 +90,12 @@
 /// @name Direct commands
 /// @{
 
-/// Direct launches are used where two heartbeat intervals take more than this share of the shortest start
-/// objective: a gang that is launched through heartbeats waits for two of them.
+/// Direct launches are used where two heartbeat intervals of maximum length take more than this share of the
+/// shortest start objective: a gang that is launched through heartbeats waits for two of them.
 inline constexpr double kDirectLaunchWaitShare = 0.25;
 /// Upper bound on the shortest start objective; the value used when no objective sets a shorter one.
 inline constexpr double kDefaultStartObjectiveS = 20.0;
-/// Direct calls per second for each core of the quota.
+/// Direct calls per second for each core of the process's CPU quota.
 inline constexpr double kDirectCallRatePerCore = 800;
 /// Lower bound on the rate of direct calls, in calls per second.
 inline constexpr double kDirectCallRateMin = 5;
@@ -107,7 +110,7 @@
 /// Bits of the counter in an attempt number (term << 24 | counter), so that no leader reuses a number.
 /// Epochs of quota leases are composed in the same way.
 inline constexpr std::uint64_t kAttemptCounterBits = 24;
-/// Commands in one answer. It keeps an answer far below 64 KiB.
+/// Commands in one answer to a heartbeat or one direct call. It keeps both far below 64 KiB.
 inline constexpr std::size_t kCommandsPerAnswerMax = 200;
 /// Share of all machines that may be cordoned as unreachable, in addition to kUnreachableBaseAllowance.
 /// When more machines are unreachable, the fault is probably on this side.
@@ -117,8 +120,8 @@
 /// Time added to two heartbeat intervals for the age of the last heartbeat of an unreachable machine: a
 /// worker without an answer sends the next heartbeat 5 s later, to another controller.
 inline constexpr double kUnreachableHeartbeatSlackS = 6;
-/// Time for which a machine that was just answered with a new fencing token is not probed: its worker
-/// sends another heartbeat within half a second.
+/// Time for which an unreconciled machine that was just answered with this leader's fencing token is not
+/// probed: its worker sends another heartbeat within half a second.
 inline constexpr double kTokenEchoWaitS = 1.0;
 /// Failed probes in a row after which a new leader stops probing an unreconciled machine.
 inline constexpr int kReconcileProbesMax = 3;
@@ -144,7 +147,8 @@
 inline constexpr int kMachineSuspectErrors = 2;
 /// Time for which a job is not placed on a machine where it failed.
 inline constexpr double kAvoidMachineS = 120.0;
-/// Heartbeat intervals without a heartbeat after which an unresponsive machine is given up and returned.
+/// Heartbeat intervals without a heartbeat, counted from the beginning of the leader's term at the earliest,
+/// after which an unresponsive machine is given up and returned, unless kNetworkFaultShare applies.
 inline constexpr double kGiveUpHeartbeats = 4.0;
 /// Minimum time without a heartbeat before an unresponsive machine is given up: a worker needs 4 s and 1
 /// s more for each failed controller to reach another one.
@@ -162,8 +166,8 @@
 /// Minimum time for which preempted machine capacity is kept for the gang, and time between two preemptions
 /// that free quota for the same gang.
 inline constexpr double kPreemptionHoldS = 8.0;
-/// Expected run times within which a job without a deadline or objective should be finished, in addition to
-/// kDefaultRunS.
+/// Time within which a job without a deadline or objective should be finished, as a multiple of its expected
+/// run time. kDefaultRunS is added.
 inline constexpr double kDefaultAllowedRuns = 2;
 /// Share of an array's nominal rate that is attainable: image fetches, stops and changes of task take
 /// time.
--- a/src/constants/transport.hpp
+++ b/src/constants/transport.hpp
@@ -45,8 +45,8 @@
 inline constexpr double kUserSocketShare = 0.7;
 /// Sockets reserved for the state service, the cloud and the other controllers, at most half of all sockets.
 inline constexpr std::size_t kReservedSockets = 24;
-/// Incoming links per member: its current one, and those of processes that ended less than
-/// kLinkIdleTimeoutS ago.
+/// Incoming links accepted in total, for each other member: its current one, and those of processes that
+/// ended less than kLinkIdleTimeoutS ago.
 inline constexpr std::size_t kLinksPerMemberMax = 6;
 
 /// @}
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -138,7 +138,7 @@
 // ---------------------------------------------------------------- records
 
 void QuotaLeases::load() {
-  lessor_.loading_started();
+  lessor_.on_loading_started();
   ++generation_;
   loading_.clear();
   load_page("");
@@ -150,12 +150,12 @@
                         if (generation != generation_) return;
                         if (!page) {
                           next_load_ = context_.now.steady + c::kLeaseLoadRetryS;
-                          return lessor_.loading_failed();
+                          return lessor_.on_loading_failed();
                         }
                         for (const auto& item : page->items)
                           loading_.push_back({item.key, item.mod_revision, item.value});
                         if (page->more && !page->items.empty()) return load_page(page->items.back().key);
-                        lessor_.loaded(std::exchange(loading_, {}), context_.now.steady);
+                        lessor_.on_records_loaded(std::exchange(loading_, {}), context_.now.steady);
                       });
 }
 
--- a/src/quota/lease_ledger.cpp
+++ b/src/quota/lease_ledger.cpp
@@ -104,7 +104,7 @@
   while (!lease.refunds.empty() && lease.refunds.front().number <= refunds_taken) lease.refunds.pop_front();
 }
 
-void LeaseLedger::change_running_tasks(protocol::JobId job, std::int64_t by, double now) {
+void LeaseLedger::change_placed_tasks(protocol::JobId job, std::int64_t by, double now) {
   const auto found = grants_.find(job);
   if (found == grants_.end()) return;
   auto& grant = found->second;
--- a/src/quota/lease_ledger.hpp
+++ b/src/quota/lease_ledger.hpp
@@ -78,7 +78,7 @@
   // Queues a refund of all tasks of a grant that was not registered.
   void queue_refusal(const std::string& member, const NewGrant& new_grant);
   void drop_acknowledged_refunds(LeaseEntry& lease, std::uint64_t refunds_taken);
-  void change_running_tasks(protocol::JobId job, std::int64_t by, double now);
+  void change_placed_tasks(protocol::JobId job, std::int64_t by, double now);
   void mark_job_live(protocol::JobId job);
 
   // Capacity of the team that leases permit beyond the placed tasks of their grants.
--- a/src/quota/lease_options.hpp
+++ b/src/quota/lease_options.hpp
@@ -18,7 +18,8 @@
   double ttl_s = 6;           // s: a lease that is not renewed for this long expires
   double leased_share = 0.5;  // largest fraction of a team's limit that may be leased
   double rebalance_s = 1;     // s: least time between two growths of one controller's lease
-  double idle_return_s = 5;   // s: idle capacity of a part is returned after this long without a request
+  // s: idle capacity of a part is returned after this long without a request or a growth of the part
+  double idle_return_s = 5;
   // s: the tasks of a grant that are not placed may be revoked for waiting jobs after this long without a
   // change in the number of placed tasks
   double grant_idle_s = 10;
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -58,7 +58,8 @@
   // Builds a renewal request: all parts and demands, and the grants that the lessor has not acknowledged (as
   // many as one message holds).
   LesseeMessage renewal(double now);
-  // Builds a message with grants that were never sent; empty when there are none. Does not renew the lease.
+  // Builds a message with grants that were not yet sent to the current lessor, as many as one message holds;
+  // empty when there are none. Does not renew the lease.
   std::optional<LesseeMessage> new_grants();
   // Applies a message of the lessor. Returns whether to send a renewal at once instead of at the next
   // interval.
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -315,11 +315,11 @@
 }
 
 void Lessor::charged(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.change_running_tasks(spec.id, tasks, now_);
+  ledger_.change_placed_tasks(spec.id, tasks, now_);
 }
 
 void Lessor::refunded(const protocol::JobSpec& spec, std::uint32_t tasks) {
-  ledger_.change_running_tasks(spec.id, -static_cast<std::int64_t>(tasks), now_);
+  ledger_.change_placed_tasks(spec.id, -static_cast<std::int64_t>(tasks), now_);
 }
 
 Amount Lessor::exposure() const {
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -66,8 +66,9 @@
     std::function<Amount(const std::string& team)> used;  // usage counted against the team's limit
   };
   struct Counters {
-    std::uint64_t grants_taken = 0;    // lessee grants that were registered
-    std::uint64_t grants_refused = 0;  // lessee grants refused: job over or granted, or no part covers it
+    std::uint64_t grants_taken = 0;  // lessee grants that were registered
+    // Lessee grants refused: empty, of a job that is over or already granted, or covered by no part.
+    std::uint64_t grants_refused = 0;
     std::uint64_t refunds = 0;  // refunds issued because a job does not need its whole grant or is unknown
     std::uint64_t revoked_tasks = 0;  // granted tasks that were not placed and were revoked for waiting jobs
     std::uint64_t recalls = 0;        // requests to a lessee to return capacity of a part
@@ -81,7 +82,7 @@
 
   // ---- leadership ----
   void begin(std::uint64_t term, double now);
-  void loaded(const std::vector<StoredLease>& records, double now);
+  void on_records_loaded(const std::vector<StoredLease>& records, double now);
   void end();
 
   // ---- lessees ----
@@ -104,8 +105,8 @@
   // Whether all lease records have to be read: after the election, after a failed read, or after a write
   // conflict.
   bool needs_loading() const { return state_ == LessorState::kLoading && reload_needed_; }
-  void loading_started() { reload_needed_ = false; }
-  void loading_failed() { reload_needed_ = state_ == LessorState::kLoading; }
+  void on_loading_started() { reload_needed_ = false; }
+  void on_loading_failed() { reload_needed_ = state_ == LessorState::kLoading; }
 
   // ---- launches ----
   bool permits(const protocol::JobSpec& spec, std::uint32_t tasks, double used_cpus, double used_gpus,
@@ -117,7 +118,8 @@
   LessorState state() const { return state_; }
   const LeaseLedger& ledger() const { return ledger_; }
   const Counters& counters() const { return counters_; }
-  // Capacity that leases permit beyond the tasks placed under their grants, summed over the teams.
+  // Capacity that leases permit beyond the tasks placed under their grants, summed over the teams in the
+  // settings.
   Amount exposure() const;
   // The part of the exposure for which jobs of the same team are waiting.
   Amount idle_while_claimed() const;
@@ -164,7 +166,7 @@
   std::uint32_t slice_for(const std::string& member, const std::string& team) const;
   void write_record(const std::string& member, std::uint32_t slice, double at);
   void write_all_records(const std::string& member, double at);
-  std::optional<boost::json::object> record_value(const std::string& key, Record& record) const;
+  std::optional<boost::json::object> prepare_record_value(const std::string& key, Record& record) const;
 
   const protocol::Settings& settings_;
   const LeaseOptions options_;
--- a/src/quota/lessor_balance.cpp
+++ b/src/quota/lessor_balance.cpp
@@ -7,9 +7,9 @@
 
 namespace robinford::quota {
 
-// Revokes the tasks of a grant that are not placed, if other jobs of the team wait for leased capacity and
-// the number of the granted job's placed tasks has not changed for `grant_idle_s`. Otherwise a granted job
-// that fits on no machine would keep the other jobs from starting.
+// Revokes the tasks of a grant that are not placed, if any job of the team waits for leased capacity and the
+// number of the granted job's placed tasks has not changed for `grant_idle_s`. Otherwise a granted job that
+// fits on no machine would keep the waiting jobs from starting.
 void Lessor::revoke_idle_grants(double now) {
   std::vector<std::pair<protocol::JobId, std::uint32_t>> idle;
   for (const auto& [job, grant] : ledger_.grants())
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -18,9 +18,9 @@
 }
 }  // namespace
 
-// Treats every recorded lease of another controller as valid for a full lease time from now, because the
-// previous leader may have renewed it until just before it lost leadership.
-void Lessor::loaded(const std::vector<StoredLease>& records, double now) {
+// Treats the newest recorded lease of each other controller as valid for a full lease time from now, because
+// the previous leader may have renewed it until just before it lost leadership.
+void Lessor::on_records_loaded(const std::vector<StoredLease>& records, double now) {
   now_ = now;
   lessor_incarnation_ = next_epoch();
   ledger_.clear();
@@ -118,7 +118,8 @@
     if (member_of(key) == member) record.write_at = std::min(record.write_at, at);
 }
 
-std::optional<boost::json::object> Lessor::record_value(const std::string& key, Record& record) const {
+std::optional<boost::json::object> Lessor::prepare_record_value(const std::string& key,
+                                                                Record& record) const {
   record.writing.clear();
   const std::string member = member_of(key);
   const auto found = ledger_.leases().find(member);
@@ -141,7 +142,7 @@
     if (record.in_flight || now < record.write_at) continue;
     if (!write_budget_.covers(1)) break;
     record.write_at = kNever;
-    auto value = record_value(key, record);
+    auto value = prepare_record_value(key, record);
     if (!value && record.mod_revision == 0)
       continue;  // the key does not exist, so there is no record to delete
     record.in_flight = true;
--- a/tests/quota/quota_property_test.cpp
+++ b/tests/quota/quota_property_test.cpp
@@ -296,10 +296,10 @@
     if (lessor_ == nullptr || frozen(leader_)) return;
     const double clock = members_[leader_].clock(now_);
     if (lessor_->needs_loading()) {
-      lessor_->loading_started();
+      lessor_->on_loading_started();
       std::vector<StoredLease> records;
       for (const auto& [key, entry] : store_) records.push_back({key, entry.first, entry.second});
-      lessor_->loaded(records, clock);
+      lessor_->on_records_loaded(records, clock);
     }
     lessor_->tick(clock);
     for (auto& write : lessor_->take_writes(clock)) carry_out(std::move(write));
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -277,8 +277,8 @@
   void begin(const std::vector<StoredLease>& records = {}) {
     lessor.begin(kTerm, now);
     EXPECT_TRUE(lessor.needs_loading());
-    lessor.loading_started();
-    lessor.loaded(records, now);
+    lessor.on_loading_started();
+    lessor.on_records_loaded(records, now);
   }
   LesseeMessage hello() {
     LesseeMessage message;
@@ -332,7 +332,7 @@
   lessor.begin(kTerm, now);
   EXPECT_FALSE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
   EXPECT_FALSE(send_to_lessor(hello()));
-  lessor.loaded({}, now);
+  lessor.on_records_loaded({}, now);
   EXPECT_TRUE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
 }
 
@@ -571,8 +571,8 @@
   lessor.not_written(writes[0].key, true);
   EXPECT_TRUE(lessor.needs_loading());
   EXPECT_FALSE(lessor.permits(job(1, 1, 1), 1, 0, 0, 0));
-  lessor.loading_started();
-  lessor.loaded({}, now);
+  lessor.on_loading_started();
+  lessor.on_records_loaded({}, now);
   const auto before = reply.lessor_incarnation;
   send_to_lessor(say(4));
   EXPECT_GT(reply.lessor_incarnation, before);  // grants are told anew
