--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -28,7 +28,8 @@
 
 constexpr std::size_t kFieldBytes = 32;  // upper bound on the name, quotes and commas of one field
 constexpr std::uint32_t kBitsPerDigit = 4;
-constexpr std::size_t kIndexDigitsMax = 9;  // no task index has this many digits
+// Number of digits after which parsing of a task index stops; valid indexes are shorter.
+constexpr std::size_t kIndexDigitsMax = 9;
 
 // As many ranges of completed tasks as fit, from the first task on.
 struct DoneRanges {
@@ -129,8 +130,9 @@
   return error ? 0 : time;
 }
 
-// A record that has the waiting prefix but no dependencies belongs to a job that had been released when a
-// version without support for dependencies rewrote the record.
+// Removes the waiting prefix from the job's zone, and sets the job to kWaiting if it still has dependencies.
+// A record with the prefix but without dependencies was rewritten, after the job's release, by a version that
+// does not support dependencies; such a job counts as released.
 void read_waiting(Job& job) {
   auto& spec = job.spec;
   const std::string_view prefix = kWaitingZonePrefix;
--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -97,8 +97,8 @@
   CallTable& calls_;
   TokenBucket requests_;
   TokenBucket writes_;
-  std::deque<Queued> urgent_queue_;     // kFirst
-  std::deque<Queued> normal_queue_;     // kNormal
+  std::deque<Queued> urgent_queue_;     // queued calls of urgency kFirst
+  std::deque<Queued> normal_queue_;     // queued calls of urgency kNormal
   std::deque<ResultCallback> refused_;  // answered at the next tick, never within the call itself
   double now_ = 0;
   double last_answer_ = -1e9;
--- a/src/bookkeeping/writer.cpp
+++ b/src/bookkeeping/writer.cpp
@@ -197,7 +197,7 @@
   requeue(units);
 }
 
-TxnWriter::TxnAnswer TxnWriter::classify(int status, const json::object* body) {
+TxnWriter::TxnAnswer TxnWriter::classify_answer(int status, const json::object* body) {
   if (status == state_status::kOk && body != nullptr) return TxnAnswer::kCarriedOut;
   if (status == state_status::kConditionFailed && body != nullptr) return TxnAnswer::kConditionFailed;
   if (status == state_status::kMalformed) return TxnAnswer::kMalformed;
@@ -213,7 +213,7 @@
     for (const auto& op : unit->ops) busy_keys_.erase(op.key);
   const auto value = protocol::parse_json(result.body);
   const auto* body = value ? value->if_object() : nullptr;
-  const auto answer = classify(result.status, body);
+  const auto answer = classify_answer(result.status, body);
   if (answer == TxnAnswer::kCarriedOut) return finish(units, WriteOutcome::kDone, revision_of(*body));
   // Leadership has changed since the transaction was sent. The next leader reads its outcome.
   if (units.front()->guarded && generation != generation_) return finish(units, WriteOutcome::kLost, 0);
--- a/src/bookkeeping/writer.hpp
+++ b/src/bookkeeping/writer.hpp
@@ -114,7 +114,7 @@
   // What the answer to a transaction says about its outcome.
   enum class TxnAnswer { kCarriedOut, kConditionFailed, kMalformed, kNotCarriedOut, kUnresolved };
 
-  static TxnAnswer classify(int status, const boost::json::object* body);
+  static TxnAnswer classify_answer(int status, const boost::json::object* body);
   static void finish(const std::vector<UnitPtr>& units, WriteOutcome outcome, std::uint64_t revision);
   std::size_t queue_limit(WritePriority urgency) const;
   bool fits(const Batch& batch, const Unit& unit) const;
--- a/src/constants/coordination.hpp
+++ b/src/constants/coordination.hpp
@@ -69,7 +69,8 @@
 /// Timeout of a read or transaction at the state service, except for list calls and the leader's lease, and
 /// longest wait of a call in the normal queue. The outcome of a write that times out is unknown.
 inline constexpr double kStateCallTimeoutS = 1.5;
-/// Timeout of a list call: a page of the ledger may take half a megabyte.
+/// Timeout of a list call at the state service. It is longer than that of other calls, because a page of
+/// records may take half a megabyte.
 inline constexpr double kStatePageTimeoutS = 4.0;
 /// Random bits of an incarnation, below the wall-clock time of the process's start in ms.
 inline constexpr int kIncarnationRandomBits = 16;
@@ -125,8 +126,9 @@
 inline constexpr std::size_t kFinalCacheMax = 20000;
 /// The protocol's limit on the tasks of a job.
 inline constexpr std::uint32_t kTasksPerJobMax = 100000;
-/// Upper bound on the amounts of a job. Larger ones are rejected as implausible. As the limit of a team
-/// it means "unlimited".
+/// Upper bound on the CPUs, GPUs and GB of memory that a job may request per task; submissions above it are
+/// rejected as implausible. It is also the CPU and GPU limit of a team for which the settings give neither,
+/// and then means "unlimited".
 inline constexpr double kAmountMax = 1e9;
 /// Maximum number of attempts to write a cancellation. A new attempt is made only if another write changed
 /// the job's records after the previous attempt had read them.
--- a/src/constants/scheduling.hpp
+++ b/src/constants/scheduling.hpp
@@ -207,7 +207,7 @@
 inline constexpr double kCapacitySurveyIntervalS = 0.5;
 /// Minimum time between two searches for preemptible capacity for the same gang.
 inline constexpr double kPreemptSearchIntervalS = 1.0;
-/// Searches for preemptible capacity in one placement round.
+/// Maximum number of searches for preemptible capacity in one placement round.
 inline constexpr int kPreemptSearchesPerRoundMax = 4;
 /// Time for which the answers about which kinds of machine suit gangs are cached.
 inline constexpr double kGangUseCacheS = 1.0;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -106,10 +106,10 @@
 void Controller::on_link(const protocol::ClockReading& now, const std::string& member, bool up) {
   begin_step(now);
   if (up) {
-    peers_.link_up(member);
+    peers_.mark_link_up(member);
     broadcast_status();
   } else {
-    peers_.link_down(member);
+    peers_.mark_link_down(member);
     frames_.discard(member);
     router_.on_link_down(member);
   }
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -250,7 +250,7 @@
   term.member = context_.settings.member;
   term.incarnation = context_.incarnation;
   term.term = campaign.term;
-  term.unanswered_recorded_since = former_leaders_.unanswered_recorded_since();
+  term.unanswered_recorded_since_term = former_leaders_.unanswered_recorded_since_term();
   term.former_stopped_wall_ms = former_leaders_.stopped_wall_ms();
   term.answer_ms =
       static_cast<std::int64_t>(std::ceil(context_.cancellations.heartbeat_answer_window_s() * 1000));
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -98,7 +98,9 @@
   bool may_announce_cancellation(protocol::JobId id) const;
 
   /// First term from which on every leader has recorded the machines whose heartbeats it does not answer.
-  std::uint64_t unanswered_recorded_since() const { return former_leaders_.unanswered_recorded_since(); }
+  std::uint64_t unanswered_recorded_since_term() const {
+    return former_leaders_.unanswered_recorded_since_term();
+  }
   /// Steady time after which no former leader answers heartbeats.
   double former_leaders_stopped_at() const { return former_leaders_.stopped_at(); }
 
--- a/src/coordination/election/former_leaders.cpp
+++ b/src/coordination/election/former_leaders.cpp
@@ -18,9 +18,9 @@
       predecessor.answer_ms ? static_cast<double>(*predecessor.answer_ms) / 1000 : c::kDegradedAnswerMaxS;
   // A leader of an older version does not record the machines whose heartbeats it does not answer, and its
   // term record lacks the field. The guarantee then starts with the term after it.
-  unanswered_recorded_since_ = predecessor.unanswered_recorded_since > 0
-                                   ? predecessor.unanswered_recorded_since
-                                   : predecessor.term + 1;
+  unanswered_recorded_since_term_ = predecessor.unanswered_recorded_since_term > 0
+                                        ? predecessor.unanswered_recorded_since_term
+                                        : predecessor.term + 1;
   earlier_stopped_wall_ms_ = predecessor.former_stopped_wall_ms;
 }
 
--- a/src/coordination/election/former_leaders.hpp
+++ b/src/coordination/election/former_leaders.hpp
@@ -34,7 +34,7 @@
   /// Steady time after which no former leader answers heartbeats.
   double stopped_at() const;
   /// First term from which on every leader has recorded the machines whose heartbeats it does not answer.
-  std::uint64_t unanswered_recorded_since() const { return unanswered_recorded_since_; }
+  std::uint64_t unanswered_recorded_since_term() const { return unanswered_recorded_since_term_; }
 
  private:
   bool predecessor_is_this_member() const;
@@ -48,7 +48,7 @@
   double predecessor_answer_bound_s_ = 0;
   /// Wall time after which no leader before the predecessor answers heartbeats.
   std::int64_t earlier_stopped_wall_ms_ = 0;
-  std::uint64_t unanswered_recorded_since_ = 0;
+  std::uint64_t unanswered_recorded_since_term_ = 0;
   double predecessor_stopped_at_ = -1e9;  ///< steady time
   double earlier_stopped_at_ = -1e9;      ///< steady time, of all leaders before the predecessor
 };
--- a/src/coordination/election/leader_records.cpp
+++ b/src/coordination/election/leader_records.cpp
@@ -40,7 +40,7 @@
   record[kMember] = member;
   record[kIncarnation] = incarnation;
   record[kTerm] = term;
-  record[kRecordsSince] = unanswered_recorded_since;
+  record[kRecordsSince] = unanswered_recorded_since_term;
   record[kFormerStoppedWallMs] = former_stopped_wall_ms;
   if (answer_ms) record[kAnswerMs] = *answer_ms;
   return record;
@@ -51,7 +51,7 @@
   record.member = text_field(value, kMember);
   record.incarnation = count_field(value, kIncarnation);
   record.term = count_field(value, kTerm);
-  record.unanswered_recorded_since = count_field(value, kRecordsSince);
+  record.unanswered_recorded_since_term = count_field(value, kRecordsSince);
   record.former_stopped_wall_ms = static_cast<std::int64_t>(count_field(value, kFormerStoppedWallMs));
   if (value.is_object() && value.get_object().contains(kAnswerMs))
     record.answer_ms = static_cast<std::int64_t>(count_field(value, kAnswerMs));
--- a/src/coordination/election/leader_records.hpp
+++ b/src/coordination/election/leader_records.hpp
@@ -29,7 +29,7 @@
   std::uint64_t term = 0;         ///< the term it led in
   /// First term from which on every leader has recorded the machines whose heartbeats it does not answer; 0:
   /// unknown.
-  std::uint64_t unanswered_recorded_since = 0;
+  std::uint64_t unanswered_recorded_since_term = 0;
   /// Wall time, ms, after which no leader before this one answers heartbeats; 0: no earlier leader on another
   /// member is recorded.
   std::int64_t former_stopped_wall_ms = 0;
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -96,7 +96,7 @@
   };
   for (auto& [name, machine] : context_.machines.all())
     if (is_up_or_expected(machine))
-      add({machine.type, machine.zone, machine.spot}, free_resources(context_, machine), 1);
+      add({machine.type, machine.zone, machine.spot}, available_resources(context_, machine), 1);
   for (const auto& request : cloud_.requests()) {
     const auto type = context_.types.find(request.pool.type);
     if (type != context_.types.end()) add(request.pool, resources_of(type->second), request.count);
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -282,7 +282,7 @@
 
 // Writes the record of a job that was just released, or the progress of a job. A progress record only saves
 // the next leader work, so that write waits until few others are queued.
-void Scheduler::write_progress(Job& job) {
+void Scheduler::write_job_if_due(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
   if (job.durable_version < job.done_version &&
@@ -305,7 +305,7 @@
   std::vector<JobId> gone;
   for (auto& [id, job] : context_.jobs.all()) {
     write_final_record(*job);
-    write_progress(*job);
+    write_job_if_due(*job);
     if (job->state != JobState::kOver || job->writing) continue;
     if (!job->cancelled_on_record) {
       write_derived_cancellation(*job);
--- a/src/coordination/leader/machine_record_writer.hpp
+++ b/src/coordination/leader/machine_record_writer.hpp
@@ -39,8 +39,10 @@
   // The content of a record once the write in flight has succeeded.
   struct PendingRecord {
     std::string group;
-    std::vector<std::string> machine_names;               // all machines that the record names
-    std::map<std::string, std::string> launchable_addrs;  // of them, those on which tasks may be launched
+    std::vector<std::string> machine_names;  // all machines that the record names
+    // Address (may be empty) of each of these machines that the record does not list as unanswered. Tasks may
+    // be launched on those with an address.
+    std::map<std::string, std::string> launchable_addrs;
   };
 
   double urgent_write_interval_s() const;
--- a/src/coordination/leader/recovery.cpp
+++ b/src/coordination/leader/recovery.cpp
@@ -124,7 +124,7 @@
         for (const auto& item : page->items) {
           const std::string group = item.key.substr(std::string(bookkeeping::kMachinePrefix).size());
           if (!context_.machines.read_group(group, item.mod_revision, item.value, context_.now.steady,
-                                            election_.unanswered_recorded_since()))
+                                            election_.unanswered_recorded_since_term()))
             spdlog::error("malformed record {}", item.key);
         }
         if (page->more && !page->items.empty()) return load_machines(page->items.back().key);
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -95,7 +95,7 @@
   while (const auto message = lessee_.new_grants()) send_(leader, quota::encode(*message));
 }
 
-// ---------------------------------------------------------------- frames
+// ---------------------------------------------------------------- messages
 
 bool QuotaLeases::on_peer_message(const std::string& member, std::uint64_t incarnation,
                                   const std::string& body) {
--- a/src/coordination/routing/job_requests.hpp
+++ b/src/coordination/routing/job_requests.hpp
@@ -35,7 +35,8 @@
   /// Cancels the job. If it already has a final state, the answer is that state.
   void cancel(protocol::JobId id, const UserReply& reply);
 
-  /// Answers the cancellations that wait for the job's final state, once it is durable.
+  /// Called when the job's final state is durable, or implied by a dependency's durable cancellation: answers
+  /// the cancellations that wait for it.
   void on_job_final_state(protocol::JobId id, bookkeeping::FinalState state);
   /// Answers the waiting cancellations with 503, because this controller is not the leader any more.
   void fail_waiting_cancellations();
--- a/src/coordination/routing/peer_table.cpp
+++ b/src/coordination/routing/peer_table.cpp
@@ -22,7 +22,7 @@
   for (const auto& peer : settings.peers) peers_[peer.member];
 }
 
-void PeerTable::link_down(const std::string& member) {
+void PeerTable::mark_link_down(const std::string& member) {
   Peer& peer = peers_[member];
   peer.linked = false;
   peer.last_contact = kNever;
--- a/src/coordination/routing/peer_table.hpp
+++ b/src/coordination/routing/peer_table.hpp
@@ -39,10 +39,10 @@
   /// Returns whether the last status of `member`, which must be a known peer, said that it is ready.
   bool is_ready(const std::string& member) const { return peers_.at(member).ready; }
 
-  void link_up(const std::string& member) { peers_[member].linked = true; }
+  void mark_link_up(const std::string& member) { peers_[member].linked = true; }
   /// Marks the link as down and clears the time of last contact, so that the peer is not fresh before its
   /// next status.
-  void link_down(const std::string& member);
+  void mark_link_down(const std::string& member);
   /// Stores the status of a known member.
   StatusOutcome apply_status(const protocol::PeerMessage& status, double now);
   /// Records that the member refused a request because it does not lead; its next status may change this.
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -74,7 +74,7 @@
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
   if ((queue_order_.changed() || placements_.has_unqueued_array_task()) && queue_order_.sort_due())
     sort_queues();
-  if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
+  if (queue_order_.queues().empty() || available_resources(context_, machine).cpus <= 0) return false;
   capacity_survey_.refresh_if_due(queue_order_.queues());
   // Waiting gangs are considered first for capacity that was just freed: array tasks placed there could be
   // preempted again at once.
@@ -86,7 +86,7 @@
 // of tasks placed.
 std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
-  Resources free = free_resources(context_, machine);
+  Resources free = available_resources(context_, machine);
   std::vector<QueueCursor> cursors;
   for (const auto& [team, queue] : queue_order_.queues()) {
     QueueCursor cursor{&queue, 0, {}};
--- a/src/coordination/scheduling/capacity_survey.cpp
+++ b/src/coordination/scheduling/capacity_survey.cpp
@@ -37,7 +37,7 @@
     if (machine.state == MachineState::kUp || machine.state == MachineState::kBooting)
       supply_cpus_ += machine.cpus;
     if (!takes_work(context_, machine) || machine.draining) continue;
-    const double free_cpus = std::max(0.0, free_resources(context_, machine).cpus);
+    const double free_cpus = std::max(0.0, available_resources(context_, machine).cpus);
     for (auto later = static_cast<std::size_t>(class_of(machine)) + 1; later < kClasses; ++later)
       preferred_free_cpus_.at(later) += free_cpus;
   }
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -61,7 +61,7 @@
 struct Scheduler::GangRound {
   std::vector<Offer> open;             // machines with free capacity
   std::vector<const JobSpec*> failed;  // gangs that could not be placed in this round
-  int searches = 0;                    // searches for tasks to preempt
+  int searches = 0;                    // number of searches for tasks to preempt
   int claims = 0;                      // gangs that claimed machines
 };
 
@@ -96,7 +96,7 @@
   if (queue.empty()) return;
   GangRound round;
   for (auto& [name, machine] : context_.machines.all())
-    if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
+    if (takes_work(context_, machine) && available_resources(context_, machine).cpus > 0)
       round.open.push_back({&machine, 0, 0});
   // Each placement changes the share in use of a team, so the best rank is determined again for each gang.
   while (!queue.empty()) {
@@ -170,7 +170,7 @@
   std::vector<Offer> offers;
   for (const auto& offer : open) {
     Machine& machine = *offer.machine;
-    const Resources& free = free_resources(context_, machine);
+    const Resources& free = available_resources(context_, machine);
     if (!free.fits(job.spec) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot)) continue;
     const auto avoided = job.avoid.find(machine.name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
@@ -210,7 +210,8 @@
     // Where launches are direct, a probe confirms the reservation earlier than the next regular heartbeat.
     if (direct_commands_.launches_directly() && direct_commands_.can_send()) direct_commands_.probe(machine);
   }
-  std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
+  std::erase_if(open,
+                [&](const Offer& offer) { return available_resources(context_, *offer.machine).cpus <= 0; });
   JobLedger::set_gang_state(job, GangState::kReserving, context_.now.steady);
   return true;
 }
@@ -226,7 +227,7 @@
     if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot) ||
         claimed_machines_.contains(name))
       continue;
-    Resources free = free_resources(context_, machine);
+    Resources free = available_resources(context_, machine);
     for (const auto& id : machine.tasks) {
       const Job* other = context_.jobs.find(id.job);
       if (other != nullptr && !other->spec.gang && other->priority() < job.priority()) free.give(other->spec);
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -16,15 +16,15 @@
 using bookkeeping::MachineState;
 using protocol::JobSpec;
 
-const Resources& free_resources(ControllerContext& context, Machine& machine) {
+const Resources& available_resources(ControllerContext& context, Machine& machine) {
   if (!machine.free_resources_known) {
-    machine.free_resources = compute_free_resources(context, machine);
+    machine.free_resources = compute_available_resources(context, machine);
     machine.free_resources_known = true;
   }
   return machine.free_resources;
 }
 
-Resources compute_free_resources(ControllerContext& context, const Machine& machine) {
+Resources compute_available_resources(ControllerContext& context, const Machine& machine) {
   Resources resources{machine.cpus, machine.gpus, machine.memory_gb};
   for (const auto& task : machine.tasks)
     if (const Job* job = context.jobs.find(task.job)) resources.take(job->spec);
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -17,10 +17,10 @@
 
 /// The machine's capacity minus all runs, reservations and unknown tasks on it. The result is cached in the
 /// machine and recomputed after one of them has changed.
-const Resources& free_resources(ControllerContext& context, bookkeeping::Machine& machine);
+const Resources& available_resources(ControllerContext& context, bookkeeping::Machine& machine);
 /// Computes the machine's free resources without the cache: its capacity minus all runs, reservations and
 /// unknown tasks on it. Returns zero resources while a task of unknown size is on the machine.
-Resources compute_free_resources(ControllerContext& context, const bookkeeping::Machine& machine);
+Resources compute_available_resources(ControllerContext& context, const bookkeeping::Machine& machine);
 
 /// Whether the job specification allows machines of this type, zone and price model (`spot`).
 bool kind_allowed(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
--- a/src/coordination/scheduling/placements.cpp
+++ b/src/coordination/scheduling/placements.cpp
@@ -147,7 +147,7 @@
 }
 
 std::string Placements::audit_machine(const Machine& machine) {
-  const Resources free = compute_free_resources(context_, machine);
+  const Resources free = compute_available_resources(context_, machine);
   if (machine.free_resources_known && machine.unknown_tasks.empty() &&
       differ(free.cpus, machine.free_resources.cpus))
     return "machine " + machine.name + " has " + std::to_string(free.cpus) +
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -106,7 +106,7 @@
   std::sort(candidates.begin(), candidates.end(),
             [](const Victim& left, const Victim& right) { return left.lost_cpu_s < right.lost_cpu_s; });
   PreemptionOption option{&machine, {}, 0};
-  Resources free = free_resources(context_, machine);
+  Resources free = available_resources(context_, machine);
   for (const auto& victim : candidates) {
     if (free.fits(job.spec)) break;
     free.give(context_.jobs.find(victim.task.job)->spec);
@@ -147,7 +147,7 @@
     const auto avoided = job.avoid.find(name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
-    const Resources& free = free_resources(context_, machine);
+    const Resources& free = available_resources(context_, machine);
     if (free.fits(job.spec))
       free_slots += std::min(free.tasks_that_fit(job.spec), slots_within_policy(context_, job, machine));
     else if (auto option = preemption_option(job, machine))
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -280,7 +280,7 @@
   void read_final_record(protocol::JobId id);
   void write_job(bookkeeping::Job& job);
   void write_derived_cancellation(bookkeeping::Job& job);
-  void write_progress(bookkeeping::Job& job);
+  void write_job_if_due(bookkeeping::Job& job);
   bool has_remaining_tasks(protocol::JobId id);
   void begin_completion(bookkeeping::Job& job);
   void write_final_record(bookkeeping::Job& job);
--- a/src/quota/lessee.cpp
+++ b/src/quota/lessee.cpp
@@ -109,7 +109,7 @@
     answer_at_once = true;
   }
   if (message.lessor_incarnation != lessor_incarnation_) {
-    start_lessor_incarnation(message.lessor_incarnation);
+    adopt_lessor_incarnation(message.lessor_incarnation);
     answer_at_once = true;
   }
   while (!unacknowledged_.empty() && unacknowledged_.front().number <= message.grants_taken)
@@ -143,7 +143,7 @@
 
 // A new lessor incarnation knows none of the grants: all outstanding grants are queued again, under new
 // numbers.
-void Lessee::start_lessor_incarnation(std::uint64_t lessor_incarnation) {
+void Lessee::adopt_lessor_incarnation(std::uint64_t lessor_incarnation) {
   lessor_incarnation_ = lessor_incarnation;
   unacknowledged_.clear();
   grants_made_ = grants_sent_ = refunds_taken_ = 0;
--- a/src/quota/lessee.hpp
+++ b/src/quota/lessee.hpp
@@ -93,7 +93,7 @@
     double at = 0;
   };
   void set_state(LesseeState state);
-  void start_lessor_incarnation(std::uint64_t lessor_incarnation);
+  void adopt_lessor_incarnation(std::uint64_t lessor_incarnation);
   void forget_lease();
   void apply_refund(const Refund& refund);
   bool apply_offered_part(const OfferedPart& offered, double now);
--- a/src/quota/lessor.cpp
+++ b/src/quota/lessor.cpp
@@ -176,7 +176,7 @@
     if (found == lease.parts.end()) {
       if (held.demand.is_zero() || settings_.team(held.team) == nullptr) continue;
       auto& part = lease.parts[held.team];
-      part.slice = slice_for(member, held.team);
+      part.slice = record_number_for(member, held.team);
       part.demand = held.demand;
       continue;
     }
@@ -304,8 +304,8 @@
     claims_.drop_claim(spec.team, spec.id);
     return true;
   }
-  // The job fits into the limit apart from leased capacity (checked above). It claims leased capacity, unless
-  // only the reservation for another gang holds it back.
+  // The job would fit into the team's limit if nothing were leased (checked above). It therefore claims
+  // leased capacity, unless it is held back only by capacity reserved for another gang.
   if (!covers(unleased - promised_elsewhere, ungranted)) {
     ++counters_.launches_refused;
     const Amount all = each * (spec.gang ? tasks : spec.tasks);
--- a/src/quota/lessor.hpp
+++ b/src/quota/lessor.hpp
@@ -163,7 +163,7 @@
   void grow_team(const std::string& team, const std::set<std::string>& members, double now);
   void grow_part(const std::string& member, const std::string& team, const Amount& by, double now);
 
-  std::uint32_t slice_for(const std::string& member, const std::string& team) const;
+  std::uint32_t record_number_for(const std::string& member, const std::string& team) const;
   void write_record(const std::string& member, std::uint32_t slice, double at);
   void write_all_records(const std::string& member, double at);
   std::optional<boost::json::object> prepare_record_value(const std::string& key, Record& record) const;
--- a/src/quota/lessor_records.cpp
+++ b/src/quota/lessor_records.cpp
@@ -95,7 +95,7 @@
 }
 
 // Returns the member's first slice with enough space left for the team's part.
-std::uint32_t Lessor::slice_for(const std::string& member, const std::string& team) const {
+std::uint32_t Lessor::record_number_for(const std::string& member, const std::string& team) const {
   const auto& parts = ledger_.leases().at(member).parts;
   std::map<std::uint32_t, std::size_t> bytes;
   for (const auto& [name, part] : parts)
