--- a/src/bookkeeping/state_client.hpp
+++ b/src/bookkeeping/state_client.hpp
@@ -33,7 +33,8 @@
  public:
   StateClient(const protocol::Settings& settings, CallTable& calls);
 
-  /// Sets the share of the budget: the leader has the larger part, and the other controllers divide the rest.
+  /// Sets this controller's share of the service's rate limits: constants::kLeaderBudgetShare as the leader,
+  /// otherwise an equal part of constants::kMemberBudgetShare.
   void set_leading(bool leading);
   /// Sends queued calls that the budget now covers, and answers the calls that were refused here.
   void tick(double now);
@@ -42,7 +43,7 @@
     /// Never queued; may overdraw the budget, because leadership depends on it.
     kLease,
     /// Sent before queued calls of kNormal. Used by candidates and new leaders, since no jobs are served
-    /// until a leader is ready, and by list().
+    /// until a leader is ready, by the leader's watch of the change log, and by list().
     kFirst,
     /// Sent in order of arrival, except that writes that the budget covers may overtake queued calls.
     kNormal,
@@ -96,8 +97,8 @@
   CallTable& calls_;
   TokenBucket requests_;
   TokenBucket writes_;
-  std::deque<Queued> urgent_queue_;     // kFirst
-  std::deque<Queued> normal_queue_;     // kNormal
+  std::deque<Queued> urgent_queue_;     // queued calls of urgency kFirst
+  std::deque<Queued> normal_queue_;     // queued calls of urgency kNormal
   std::deque<ResultCallback> refused_;  // answered at the next tick, never within the call itself
   double now_ = 0;
   double last_answer_ = -1e9;
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -72,8 +72,8 @@
 bool Election::may_announce_cancellation(protocol::JobId id) const {
   auto& cancellations = context_.cancellations;
   // A valid leader knows its own announcements. That former leaders may lack them in memory does not matter:
-  // none of them is valid, so none starts work or answers users from its ledger. In strict mode it also waits
-  // until no former leader answers heartbeats.
+  // none of them is valid, so none starts work or answers users from its ledger. In strict mode the leader
+  // also waits until no former leader answers heartbeats.
   if (valid())
     return !cancellations.only_leader_announces() || context_.now.steady >= former_leaders_stopped_at();
   return !cancellations.only_leader_announces() && cancellations.acknowledged_by_all(id, context_.now.steady);
@@ -250,7 +250,7 @@
   term.member = context_.settings.member;
   term.incarnation = context_.incarnation;
   term.term = campaign.term;
-  term.unanswered_recorded_since = former_leaders_.unanswered_recorded_since();
+  term.unanswered_recorded_since_term = former_leaders_.unanswered_recorded_since_term();
   term.former_stopped_wall_ms = former_leaders_.stopped_wall_ms();
   term.answer_ms =
       static_cast<std::int64_t>(std::ceil(context_.cancellations.heartbeat_answer_window_s() * 1000));
--- a/src/coordination/leader/job_records.cpp
+++ b/src/coordination/leader/job_records.cpp
@@ -102,7 +102,7 @@
 // who cancelled the job gets an answer, so that no later answer from this in-memory state predates the
 // cancellation. Recording the final state alone would let the scheduler continue with the job. A degraded
 // leader stops the tasks too, because their machines keep sending heartbeats to it. While the ledger is
-// loading, settle_loaded_jobs does this instead.
+// loading, the job is not finished here; settle_loaded_jobs finishes it afterwards.
 void Scheduler::on_cancelled_elsewhere(JobId id) {
   const bool known = context_.jobs.final_state(id).has_value();
   context_.jobs.remember_final(id, FinalState::kCancelled);
@@ -230,7 +230,7 @@
 
 void Scheduler::on_job_added(Job& job) {
   if (job.state == JobState::kWaiting)
-    dependencies_.watch(job);
+    dependencies_.track(job);
   else
     record_arrival(job);
   round_requested_ = true;
@@ -282,7 +282,7 @@
 
 // Writes the record of a job that was just released, or the progress of a job. A progress record only saves
 // the next leader work, so that write waits until few others are queued.
-void Scheduler::write_progress(Job& job) {
+void Scheduler::write_job_if_due(Job& job) {
   if (job.state != JobState::kActive || job.writing) return;
   if (!job.ready_on_record) return write_job(job);
   if (job.durable_version < job.done_version &&
@@ -305,7 +305,7 @@
   std::vector<JobId> gone;
   for (auto& [id, job] : context_.jobs.all()) {
     write_final_record(*job);
-    write_progress(*job);
+    write_job_if_due(*job);
     if (job->state != JobState::kOver || job->writing) continue;
     if (!job->cancelled_on_record) {
       write_derived_cancellation(*job);
--- a/src/coordination/quota_leases.cpp
+++ b/src/coordination/quota_leases.cpp
@@ -95,7 +95,7 @@
   while (const auto message = lessee_.new_grants()) send_(leader, quota::encode(*message));
 }
 
-// ---------------------------------------------------------------- frames
+// ---------------------------------------------------------------- messages
 
 bool QuotaLeases::on_peer_message(const std::string& member, std::uint64_t incarnation,
                                   const std::string& body) {
@@ -112,7 +112,8 @@
     lessor_.count_bad_message();
     return false;
   }
-  // A leader that was paused until its leadership lease expired must not renew quota leases.
+  // Without a valid leadership lease, for instance after a pause of the process, quota leases must not be
+  // renewed.
   if (!election_.valid()) return true;
   if (const auto reply = lessor_.handle_lessee_message(member, incarnation, *message, context_.now.steady))
     send_(member, quota::encode(*reply));
@@ -137,7 +138,7 @@
 // ---------------------------------------------------------------- records
 
 void QuotaLeases::load() {
-  lessor_.loading_started();
+  lessor_.on_loading_started();
   ++generation_;
   loading_.clear();
   load_page("");
@@ -149,12 +150,12 @@
                         if (generation != generation_) return;
                         if (!page) {
                           next_load_ = context_.now.steady + c::kLeaseLoadRetryS;
-                          return lessor_.loading_failed();
+                          return lessor_.on_loading_failed();
                         }
                         for (const auto& item : page->items)
                           loading_.push_back({item.key, item.mod_revision, item.value});
                         if (page->more && !page->items.empty()) return load_page(page->items.back().key);
-                        lessor_.loaded(std::exchange(loading_, {}), context_.now.steady);
+                        lessor_.on_records_loaded(std::exchange(loading_, {}), context_.now.steady);
                       });
 }
 
--- a/src/coordination/scheduling/array_placement.cpp
+++ b/src/coordination/scheduling/array_placement.cpp
@@ -36,9 +36,10 @@
   const auto withheld = withheld_quota_cpus_.find(job.spec.team);
   if (!context_.quota.allows(job.spec, 1, withheld == withheld_quota_cpus_.end() ? 0 : withheld->second))
     return false;
-  // A job that failed on several machines runs one task at a time until one succeeds. A job that is ranked
-  // first because of its waiting time also starts with one task, and its other tasks are ranked by due time
-  // again: when whole arrays were preferred by waiting time, other arrays missed their due times.
+  // A job that failed on at least `kJobSuspectMachines` machines runs one task at a time until one succeeds.
+  // A job that is ranked first because of its waiting time also starts with one task, and its other tasks are
+  // ranked by due time again: when whole arrays were preferred by waiting time, other arrays missed their due
+  // times.
   const bool one_task_only =
       static_cast<int>(job.failed_on.size()) >= c::kJobSuspectMachines || queue_order_.waited_too_long(job);
   if (one_task_only && !job.runs.empty()) return false;
@@ -73,7 +74,7 @@
   if (machine.reserved_by && context_.now.steady < machine.reserved_until) return false;
   if ((queue_order_.changed() || placements_.has_unqueued_array_task()) && queue_order_.sort_due())
     sort_queues();
-  if (queue_order_.queues().empty() || free_resources(context_, machine).cpus <= 0) return false;
+  if (queue_order_.queues().empty() || available_resources(context_, machine).cpus <= 0) return false;
   capacity_survey_.refresh_if_due(queue_order_.queues());
   // Waiting gangs are considered first for capacity that was just freed: array tasks placed there could be
   // preempted again at once.
@@ -85,7 +86,7 @@
 // of tasks placed.
 std::uint32_t Scheduler::place_arrays(Machine& machine) {
   if (!open_to_arrays(machine)) return 0;
-  Resources free = free_resources(context_, machine);
+  Resources free = available_resources(context_, machine);
   std::vector<QueueCursor> cursors;
   for (const auto& [team, queue] : queue_order_.queues()) {
     QueueCursor cursor{&queue, 0, {}};
@@ -113,8 +114,8 @@
 }
 
 // Where launches are direct, places array tasks on machines with free capacity and launches them by direct
-// command. With long heartbeat intervals, they would otherwise wait for the next heartbeat for most of an
-// interval.
+// command. With long heartbeat intervals, the tasks could otherwise wait almost a whole interval for the next
+// heartbeat of a machine.
 void Scheduler::place_arrays_directly() {
   if (!direct_commands_.launches_directly() || queue_order_.queues().empty() ||
       capacity_survey_.array_demand_cpus() <= 0)
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -61,13 +61,14 @@
 struct Scheduler::GangRound {
   std::vector<Offer> open;             // machines with free capacity
   std::vector<const JobSpec*> failed;  // gangs that could not be placed in this round
-  int searches = 0;                    // searches for tasks to preempt
+  int searches = 0;                    // number of searches for tasks to preempt
   int claims = 0;                      // gangs that claimed machines
 };
 
 namespace {
 
-// Added before a product is rounded down: by rounding, it may be slightly less than the exact whole number.
+// Added before a product is rounded down, since a floating-point error may make it slightly less than the
+// exact whole number.
 constexpr double kCountRounding = 1e-9;
 
 struct WaitingGang {
@@ -95,7 +96,7 @@
   if (queue.empty()) return;
   GangRound round;
   for (auto& [name, machine] : context_.machines.all())
-    if (takes_work(context_, machine) && free_resources(context_, machine).cpus > 0)
+    if (takes_work(context_, machine) && available_resources(context_, machine).cpus > 0)
       round.open.push_back({&machine, 0, 0});
   // Each placement changes the share in use of a team, so the best rank is determined again for each gang.
   while (!queue.empty()) {
@@ -145,8 +146,8 @@
 
 // Withholds the quota that waiting gangs need from the arrays of their teams, also while preemption is still
 // freeing it. Otherwise arrays would use each part as soon as it is free, and the gang would starve. Nothing
-// is withheld for gangs that failed on several machines, or that do not fit into the team's limit on cpus
-// beside its other gangs.
+// is withheld for gangs that failed on `kJobSuspectMachines` or more machines, or that do not fit into the
+// team's limit on cpus beside its other gangs.
 void Scheduler::withhold_quota_for_waiting_gangs() {
   withheld_quota_cpus_.clear();
   std::map<std::string, double> gang_cpus;
@@ -169,7 +170,7 @@
   std::vector<Offer> offers;
   for (const auto& offer : open) {
     Machine& machine = *offer.machine;
-    const Resources& free = free_resources(context_, machine);
+    const Resources& free = available_resources(context_, machine);
     if (!free.fits(job.spec) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot)) continue;
     const auto avoided = job.avoid.find(machine.name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
@@ -181,7 +182,7 @@
         std::any_of(machine.direct.begin(), machine.direct.end(),
                     [&](const auto& entry) { return entry.first.job == job.spec.id; });
     if (earlier_attempt) continue;
-    const auto slots = std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
+    const auto slots = std::min(free.tasks_that_fit(job.spec), slots_within_policy(context_, job, machine));
     if (slots == 0) continue;
     offers.push_back({&machine, slots, free.cpus, machine.images.contains(job.spec.image)});
   }
@@ -209,15 +210,16 @@
     // Where launches are direct, a probe confirms the reservation earlier than the next regular heartbeat.
     if (direct_commands_.launches_directly() && direct_commands_.can_send()) direct_commands_.probe(machine);
   }
-  std::erase_if(open, [&](const Offer& offer) { return free_resources(context_, *offer.machine).cpus <= 0; });
+  std::erase_if(open,
+                [&](const Offer& offer) { return available_resources(context_, *offer.machine).cpus <= 0; });
   JobLedger::set_gang_state(job, GangState::kReserving, context_.now.steady);
   return true;
 }
 
-// Sets machines aside for a gang that has waited for more than `kGangClaimAfterS`: gangs considered later in
-// this round cannot use them. Otherwise gangs with fewer tasks would take each machine as it becomes free,
-// and a gang with many tasks would starve. Arrays may still use the machines, since a gang can preempt arrays
-// of lower priority.
+// Sets machines aside for a gang that this leader has known as eligible for more than `kGangClaimAfterS`:
+// gangs considered later in this round cannot use them. Otherwise gangs with fewer tasks would take each
+// machine as it becomes free, and a gang with many tasks would starve. Arrays may still use the machines,
+// since a gang can preempt arrays of lower priority.
 void Scheduler::claim_machines(const Job& job) {
   std::uint32_t left = job.spec.tasks;
   for (auto& [name, machine] : context_.machines.all()) {
@@ -225,12 +227,12 @@
     if (!takes_work(context_, machine) || !kind_allowed(job.spec, machine.type, machine.zone, machine.spot) ||
         claimed_machines_.contains(name))
       continue;
-    Resources free = free_resources(context_, machine);
+    Resources free = available_resources(context_, machine);
     for (const auto& id : machine.tasks) {
       const Job* other = context_.jobs.find(id.job);
       if (other != nullptr && !other->spec.gang && other->priority() < job.priority()) free.give(other->spec);
     }
-    const auto slots = std::min(left, free.tasks_of(job.spec));
+    const auto slots = std::min(left, free.tasks_that_fit(job.spec));
     if (slots == 0) continue;
     claimed_machines_.insert(name);
     left -= slots;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -54,7 +54,7 @@
   });
   double possible = 0;
   for (const auto& victim : victims) possible += victim.job->spec.cpus;
-  if (possible < excess) return;  // other work that it can't preempt uses the quota: it waits
+  if (possible < excess) return;  // the rest of the quota is used by work that the gang cannot preempt
   job.quota_freed_until = now + c::kPreemptionHoldS;
   std::size_t stopped = 0;
   for (const auto& victim : victims) {
@@ -75,7 +75,7 @@
 struct Scheduler::PreemptionOption {
   struct Victim {
     TaskId task;
-    double lost_cpu_s;  // used by its run so far; counted as lost when it stops
+    double lost_cpu_s;  // cpu seconds that its run has used; lost if it is stopped
   };
   Machine* machine;
   std::vector<Victim> victims;
@@ -106,7 +106,7 @@
   std::sort(candidates.begin(), candidates.end(),
             [](const Victim& left, const Victim& right) { return left.lost_cpu_s < right.lost_cpu_s; });
   PreemptionOption option{&machine, {}, 0};
-  Resources free = free_resources(context_, machine);
+  Resources free = available_resources(context_, machine);
   for (const auto& victim : candidates) {
     if (free.fits(job.spec)) break;
     free.give(context_.jobs.find(victim.task.job)->spec);
@@ -147,14 +147,14 @@
     const auto avoided = job.avoid.find(name);
     if (avoided != job.avoid.end() && now < avoided->second) continue;
     if ((machine.reserved_by && now < machine.reserved_until) || claimed_machines_.contains(name)) continue;
-    const Resources& free = free_resources(context_, machine);
+    const Resources& free = available_resources(context_, machine);
     if (free.fits(job.spec))
-      free_slots += std::min(free.tasks_of(job.spec), slots_within_policy(context_, job, machine));
+      free_slots += std::min(free.tasks_that_fit(job.spec), slots_within_policy(context_, job, machine));
     else if (auto option = preemption_option(job, machine))
       options.push_back(std::move(*option));
   }
   if (free_slots >= job.spec.tasks)
-    return;  // slots are not what it lacks; the zone rules may prevent its placement
+    return;  // enough slots are free; the zone rules may prevent the placement
   const std::size_t needed = job.spec.tasks - free_slots;
   if (options.size() < needed) return;
   std::sort(options.begin(), options.end(), [](const PreemptionOption& left, const PreemptionOption& right) {
