--- a/src/quota/lease_record.cpp
+++ b/src/quota/lease_record.cpp
@@ -15,7 +15,8 @@
 constexpr char kIncarnation[] = "inc";
 constexpr char kParts[] = "parts";
 
-// Stored values also have the writer's mark `_`, so further properties are allowed.
+// Stored values also have the random mark that TxnWriter adds in the field `w`, so further properties are
+// allowed.
 constexpr char kSchema[] = R"({
   "type": "object",
   "required": ["member", "epoch", "inc", "parts"],
